--- a/bench/burn_book.cpp
+++ b/bench/burn_book.cpp
@@ -1,5 +1,5 @@
 // Cost of the burn book on the path of a token: nanoseconds for one gap, and bytes of memory a row.
-#include <plumdale/coordination/burn_book.hpp>
+#include <plumdale/coordination/error_budget_tracker.hpp>
 
 #include <algorithm>
 #include <chrono>
@@ -16,14 +16,15 @@
 constexpr std::uint32_t tokens = 2'000'000;
 constexpr int rounds = 5;
 
-double nanoseconds_a_gap(coordination::burn_book& book)
+double nanoseconds_a_gap(coordination::error_budget_tracker& tracker)
 {
     auto const start = std::chrono::steady_clock::now();
     for (std::uint32_t i = 0; i < tokens; ++i)
     {
-        coordination::burn_key const key{state::model_id{1}, state::customer_id{i % rows + 1}};
-        book.record_token_gap(key, std::chrono::milliseconds{i % 60},
-                              state::time_point{std::chrono::microseconds{70ULL * i}});
+        coordination::error_budget_key const key{state::model_id{1},
+                                                 state::customer_id{i % rows + 1}};
+        tracker.record_token_gap(key, std::chrono::milliseconds{i % 60},
+                                 state::time_point{std::chrono::microseconds{70ULL * i}});
     }
     std::chrono::duration<double, std::nano> const took = std::chrono::steady_clock::now() - start;
     return took.count() / tokens;
@@ -35,10 +36,10 @@
 {
     std::vector<double> costs;
     std::size_t const before = mallinfo2().uordblks;
-    coordination::burn_book book{coordination::burn_settings{}};
+    coordination::error_budget_tracker tracker{coordination::error_budget_settings{}};
     for (int i = 0; i < rounds; ++i)
     {
-        costs.push_back(nanoseconds_a_gap(book));
+        costs.push_back(nanoseconds_a_gap(tracker));
     }
     std::size_t const used = mallinfo2().uordblks - before;
     std::sort(costs.begin(), costs.end());
--- a/bench/control_cost.cpp
+++ b/bench/control_cost.cpp
@@ -62,7 +62,7 @@
         upstream.id = {i + 1};
         upstream.zone = {i % zones + 1};
         upstream.model = {i % 6 + 1};
-        upstream.uptime = {1};
+        upstream.incarnation_number = {1};
         upstream.name = "10.1.100.100:8000";
         loop.platform.list.upstreams.push_back(std::move(upstream));
     }
@@ -93,7 +93,7 @@
         largest = std::max(largest, datagram.size());
         return datagram.size() + datagram_overhead;
     };
-    publish_basics(loop);
+    publish_base_configuration(loop);
     add_upstreams(loop, given.upstreams, given.size.zones);
     add_customers(loop, given.customers);
     loop.run_for(settled);
--- a/bench/decision_cost.cpp
+++ b/bench/decision_cost.cpp
@@ -14,7 +14,7 @@
 using namespace plumdale;
 using namespace plumdale::coordination;
 
-constexpr state::model_id model = state::named<state::model_id>("lists");
+constexpr state::model_id model = state::id_from_name<state::model_id>("lists");
 constexpr std::uint32_t customers = 660;
 
 state::time_point at(double seconds)
@@ -120,7 +120,7 @@
     }
     std::printf("{\"bytes_per_engine\":%zu,\"bytes_per_length_key\":%zu,"
                 "\"bytes_per_request\":%zu}\n",
-                sizeof(upstream_gauge) + sizeof(upstream_view), length_estimator::cell_bytes(),
+                sizeof(upstream_gauge) + sizeof(upstream_view), length_estimator::estimate_bytes(),
                 projected_memory_policy::stream_bytes());
     return 0;
 }
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -97,7 +97,7 @@
     for (std::uint64_t seed = 1; seed <= trials; ++seed)
     {
         fleet_loop loop{size.nodes, size.zones, seed};
-        publish_basics(loop);
+        publish_base_configuration(loop);
         loop.run_for(warm_up);
         loop.loss = loss;
         loop.run_for(seed * 61ms);
@@ -112,7 +112,7 @@
         }
         else
         {
-            loop.platform.visible = 6;
+            loop.platform.visible_revision = 6;
             loop.platform.down = service == service_state::down;
             loop.run_for(5s);
             loop.send(seed % size.nodes,
@@ -142,7 +142,7 @@
     for (std::uint64_t seed = 1; seed <= trials; ++seed)
     {
         fleet_loop loop{size.nodes, size.zones, seed};
-        publish_basics(loop);
+        publish_base_configuration(loop);
         loop.run_for(warm_up);
         loop.loss = loss;
         loop.run_for(1s + seed * 61ms);
@@ -177,7 +177,7 @@
 void measure_false_suspicion(fleet_size size, double loss, state::duration pause)
 {
     fleet_loop loop{size.nodes, size.zones, 5};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(warm_up);
     loop.loss = loss;
     std::set<std::pair<state::node_id, std::uint32_t>> suspected;
@@ -262,8 +262,9 @@
                         "%zu, leaving %zu, "
                         "late marks %zu, members %zu, silent answers %zu\n",
                         static_cast<unsigned long long>(seed), found.reverts, found.served_old,
-                        found.lost_switches, found.divergence, found.leaving_work, found.late_marks,
-                        found.member_faults, found.silent_answers);
+                        found.lost_switches, found.divergence, found.leaving_offered,
+                        found.late_marks, found.members_not_alive,
+                        found.missing_or_repeated_answers);
             ++failed;
         }
     }
--- a/bench/length_score.cpp
+++ b/bench/length_score.cpp
@@ -42,7 +42,7 @@
     {
         std::mt19937 random{seed};
         coordination::length_estimator lengths{100};
-        auto const cell =
+        auto const estimate =
             lengths.open({state::customer_id{1}, state::model_id{1}, state::work_kind::draft});
         double sum = 0.0;
         for (int i = 0; i < 600; ++i)
@@ -55,14 +55,14 @@
                 double const truth = length > so_far + more ? 1.0 : 0.0;
                 // Knowing the mean only: exponential lengths, the same chance at every token.
                 double const by_mean = i == 0 ? 0.5 : std::exp(-more / (sum / i));
-                double const ours = lengths.survival(cell, so_far, more);
+                double const ours = lengths.survival(estimate, so_far, more);
                 phases[phase].ours += (ours - truth) * (ours - truth);
                 phases[phase].mean += (by_mean - truth) * (by_mean - truth);
                 phases[phase].nothing += 0.25;
                 phases[phase].asked += 1.0;
             }
-            lengths.advance(cell, 0, length);
-            lengths.finish(cell, length);
+            lengths.advance(estimate, 0, length);
+            lengths.finish(estimate, length);
             sum += length;
         }
     }
--- a/bench/load_collection.cpp
+++ b/bench/load_collection.cpp
@@ -30,7 +30,7 @@
         engine.id = {i};
         engine.zone = {1};
         engine.model = {i % 6 + 1};
-        engine.uptime = {1};
+        engine.incarnation_number = {1};
         loop.platform.list.upstreams.push_back(engine);
     }
 }
@@ -54,7 +54,7 @@
     {
         return protocol::encode(message, "an example fleet key").size() + datagram_overhead;
     };
-    publish_basics(loop);
+    publish_base_configuration(loop);
     add_engines(loop);
     loop.run_for(30s);
     for (node_model& node : loop.nodes())
--- a/bench/ownership_cost.cpp
+++ b/bench/ownership_cost.cpp
@@ -1,9 +1,9 @@
 #include <plumdale/coordination/finished_generations.hpp>
-#include <plumdale/coordination/generation_life.hpp>
-#include <plumdale/coordination/identity.hpp>
+#include <plumdale/coordination/generation_lifecycle.hpp>
+#include <plumdale/coordination/identity_signer.hpp>
 #include <plumdale/coordination/key_homes.hpp>
-#include <plumdale/coordination/key_memory.hpp>
 #include <plumdale/coordination/least_in_flight.hpp>
+#include <plumdale/coordination/recent_keys.hpp>
 #include <plumdale/coordination/request_shard.hpp>
 
 #include <chrono>
@@ -47,7 +47,7 @@
 {
     constexpr std::uint32_t count = 50'000;
     std::size_t before = allocated();
-    key_memory keys{10min, count, {}};
+    recent_keys keys{10min, count, {}};
     for (std::uint64_t i = 1; i <= count; ++i)
     {
         keys.remember({state::mix(i, 1)}, {{{1}, {1}, i, {}}, i}, state::time_point{1h});
@@ -87,14 +87,14 @@
 
 void life()
 {
-    generation_life machine;
-    static_cast<void>(machine.apply(life_event::run));
-    static_cast<void>(machine.apply(life_event::dispatch));
+    generation_lifecycle machine;
+    static_cast<void>(machine.apply(lifecycle_event::run));
+    static_cast<void>(machine.apply(lifecycle_event::dispatch));
     bool moved = true;
     double const each = nanoseconds(10'000'000, [&](std::size_t /*i*/)
-                                    { moved = machine.apply(life_event::token) && moved; });
+                                    { moved = machine.apply(lifecycle_event::token) && moved; });
     report("a move of the life's state machine", each + (moved ? 0 : 1), "ns");
-    report("the state machine itself", static_cast<double>(sizeof(generation_life)), "bytes");
+    report("the state machine itself", static_cast<double>(sizeof(generation_lifecycle)), "bytes");
 }
 
 struct world
@@ -102,7 +102,7 @@
     world()
     {
         settings.self.id = {1};
-        settings.self.uptime = {1};
+        settings.self.incarnation_number = {1};
         settings.fleet_key = "an example fleet key";
         fleet_snapshot snapshot;
         snapshot.ready = true;
--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -1,6 +1,6 @@
 #include "policy/fleet_run.hpp"
 
-#include <plumdale/coordination/capped_policy.hpp>
+#include <plumdale/coordination/memory_cap_policy.hpp>
 #include <plumdale/coordination/projected_memory_policy.hpp>
 
 #include <tclap/CmdLine.h>
@@ -24,7 +24,7 @@
         return [](policy_place const& place)
         {
             return std::make_unique<co::projected_memory_policy>(
-                co::decider_place{place.node, place.zone, 1}, co::subset_limits{}, place.seed);
+                co::entry_vm_placement{place.node, place.zone, 1}, co::subset_limits{}, place.seed);
         };
     }
     if (name == "oracle")
@@ -39,7 +39,7 @@
     double const cap = colon == std::string::npos ? 2.0 : std::stod(name.substr(colon + 1));
     return [ranking, cap](policy_place const& place) -> std::unique_ptr<co::dispatch_policy>
     {
-        std::unique_ptr<co::engine_ranking> chosen;
+        std::unique_ptr<co::balancing_strategy> chosen;
         if (ranking == "round_robin")
         {
             chosen = std::make_unique<co::round_robin>();
@@ -56,7 +56,7 @@
         {
             chosen = std::make_unique<co::two_choices>(place.seed);
         }
-        return std::make_unique<co::capped_policy>(std::move(chosen), cap);
+        return std::make_unique<co::memory_cap_policy>(std::move(chosen), cap);
     };
 }
 
@@ -135,7 +135,7 @@
         {
             if (auto const* ours = dynamic_cast<co::projected_memory_policy const*>(&each))
             {
-                sum += ours->limit_factor(st::named<st::model_id>("lists"));
+                sum += ours->limit_factor(st::id_from_name<st::model_id>("lists"));
                 count += 1.0;
             }
         });
--- a/bench/policy/fleet_run.hpp
+++ b/bench/policy/fleet_run.hpp
@@ -41,7 +41,7 @@
 {
 public:
     fleet_run(scenario const& what, policy_maker const& make)
-        : what_{what}, source_{what_}, model_{st::named<st::model_id>("lists")}
+        : what_{what}, source_{what_}, model_{st::id_from_name<st::model_id>("lists")}
     {
         result_.customers.resize(demand_source::customers);
         auto const slices = static_cast<std::size_t>(what.seconds / measures::slice_seconds) + 1;
@@ -139,7 +139,7 @@
         bool alive = true;
         bool leaving = false;
         bool stepping = false;
-        std::uint32_t uptime = 1;
+        std::uint32_t incarnation_number = 1;
         std::uint64_t preemptions = 0;
         std::deque<st::load_report> samples;
     };
@@ -249,7 +249,7 @@
         run.request.model = model_;
         run.request.prompt_tokens = run.wanted.prompt;
         auto const index = static_cast<std::uint32_t>(runs_.size());
-        run.request.key = st::key_id{index + 1U};
+        run.request.key = st::idempotency_key_id{index + 1U};
         length_of_[index + 1U] = run.wanted.length;
         if (counted())
         {
@@ -278,7 +278,7 @@
     {
         run_state& run = runs_[index];
         decider& by = deciders_[run.decider];
-        co::dispatch_question const question{run.request, run.received, run.starts, run.failed};
+        co::dispatch_attempt const question{run.request, run.received, run.starts, run.failed};
         co::dispatch_decision const decision = by.policy->decide(question, *by.fleet, now_);
         switch (decision.verdict)
         {
@@ -286,7 +286,7 @@
             return start(index, *decision.upstream);
         case co::dispatch_verdict::wait:
             by.waiting.push_back(index);
-            return push(decision.ask_again, event_kind::ask, index);
+            return push(decision.reevaluate_at, event_kind::ask, index);
         case co::dispatch_verdict::refuse:
             return refuse(run);
         }
--- a/bench/policy/oracle.hpp
+++ b/bench/policy/oracle.hpp
@@ -33,29 +33,29 @@
     oracle(true_state world, std::uint64_t seed) : world_{world}, random_{seed} {}
 
     [[nodiscard]] plumdale::coordination::dispatch_decision
-    decide(plumdale::coordination::dispatch_question const& question,
+    decide(plumdale::coordination::dispatch_attempt const& attempt,
            plumdale::coordination::fleet_snapshot const& fleet,
            plumdale::state::time_point now) override
     {
         plumdale::coordination::dispatch_decision decision;
-        bool const draft = question.request.kind == plumdale::state::work_kind::draft;
+        bool const draft = attempt.request.kind == plumdale::state::work_kind::draft;
         double least = draft ? draft_bound : question_bound;
-        auto const views = fleet.upstreams_of(question.request.model);
+        auto const views = fleet.upstreams_of(attempt.request.model);
         double const places = fleet.preset.max_batch * (draft ? draft_places : 1.0);
         std::size_t const first = random_() % views.size();
-        for (std::size_t i = 0; i < std::min(views.size(), engines_looked_at); ++i)
+        for (std::size_t i = 0; i < std::min(views.size(), sampled_engines); ++i)
         {
             auto const& view = views[(first + i) % views.size()];
             engine_model const& engine = *world_.engines[world_.engine_of.at(view.info.id.value)];
             double const count = static_cast<double>(engine.running().size()) +
                                  static_cast<double>(engine.waiting().size());
-            bool const failed = std::find(question.failed.begin(), question.failed.end(),
-                                          view.info.id) != question.failed.end();
+            bool const failed = std::find(attempt.failed.begin(), attempt.failed.end(),
+                                          view.info.id) != attempt.failed.end();
             if (!view.accepting || failed || count + 1 > places)
             {
                 continue;
             }
-            double const peak = peak_of(engine, question.request);
+            double const peak = peak_of(engine, attempt.request);
             if (peak <= least)
             {
                 least = peak;
@@ -64,10 +64,10 @@
             }
         }
         auto const patience = draft ? fleet.preset.draft_wait : std::chrono::milliseconds{250};
-        if (decision.upstream == nullptr && now - question.received < patience)
+        if (decision.upstream == nullptr && now - attempt.received < patience)
         {
             decision.verdict = plumdale::coordination::dispatch_verdict::wait;
-            decision.ask_again = now + std::chrono::milliseconds{100};
+            decision.reevaluate_at = now + std::chrono::milliseconds{100};
         }
         return decision;
     }
@@ -92,7 +92,7 @@
     static constexpr double draft_bound = 0.975; ///< The rest is for questions to come.
     static constexpr double question_bound = 0.995;
     static constexpr double draft_places = 0.9;
-    static constexpr std::size_t engines_looked_at = 16;
+    static constexpr std::size_t sampled_engines = 16;
 
     /// \brief Returns the highest part of the memory that will be held, if nothing more came.
     double peak_of(engine_model const& engine, plumdale::state::request const& request)
--- a/examples/embed_admission.cpp
+++ b/examples/embed_admission.cpp
@@ -11,9 +11,9 @@
     using namespace plumdale::coordination;
 
     length_estimator lengths{1000};
-    load_book book{lengths};
+    load_forecaster forecaster{lengths};
     overflow_limit limit;
-    limit.use(state::preset{});
+    limit.configure(state::preset{});
 
     upstream_gauge engine;
     engine.blocks_total = 4096; // Of 16 tokens each.
@@ -23,15 +23,15 @@
     engine.reported_at = now.time_since_epoch().count();
 
     auto const drafts =
-        lengths.open({state::named<state::customer_id>("sablah"),
-                      state::named<state::model_id>("faq"), state::work_kind::draft});
-    load_forecast const wanted = book.forecast(drafts, 0, 400, 0);
+        lengths.open({state::id_from_name<state::customer_id>("sablah"),
+                      state::id_from_name<state::model_id>("faq"), state::work_kind::draft});
+    load_forecast const wanted = forecaster.forecast(drafts, 0, 400, 0);
     int admitted = 0;
-    while (limit.check(book.forecast(engine, now), wanted, state::work_kind::draft, 1.0) ==
-           room::free)
+    while (limit.check(forecaster.forecast(engine, now), wanted, state::work_kind::draft, 1.0) ==
+           capacity_status::free)
     {
         engine.in_flight.fetch_add(1);
-        load_book::replace(engine, {}, load_book::rounded(400, wanted), now);
+        load_forecaster::update_gauge(engine, {}, load_forecaster::rounded(400, wanted), now);
         ++admitted;
     }
     std::cout << admitted << " drafts have room beside what the engine reports\n";
--- a/examples/embed_entry_node.cpp
+++ b/examples/embed_entry_node.cpp
@@ -13,25 +13,26 @@
 namespace
 {
 
-constexpr auto model = state::named<state::model_id>("lists");
+constexpr auto model = state::id_from_name<state::model_id>("lists");
 
 /// \brief Tells the node what the platform would: one customer, one preset, one engine.
 void configure(entry_node& node, state::time_point& now)
 {
     control_actions actions;
     state::customer customer;
-    customer.id = state::named<state::customer_id>("frescura");
+    customer.id = state::id_from_name<state::customer_id>("frescura");
     customer.name = "frescura";
     state::preset preset;
     preset.name = "ordinary";
     state::upstream engine;
-    engine.id = state::named<state::upstream_id>("engine-1");
+    engine.id = state::id_from_name<state::upstream_id>("engine-1");
     engine.model = model;
-    engine.uptime = {1};
+    engine.incarnation_number = {1};
     node.handle(control_event{deadline_reached{}}, now, actions);
     node.handle(customers_published{1, {customer}, {}}, now, actions);
     node.handle(preset_published{1, preset, {}}, now, actions);
-    node.handle(switch_published{1, state::named<state::preset_id>("ordinary")}, now, actions);
+    node.handle(switch_published{1, state::id_from_name<state::preset_id>("ordinary")}, now,
+                actions);
     node.handle(configuration_read{1}, now, actions);
     node.handle(vm_list_read{{engine}, {}}, now, actions);
     for (int i = 0; i < 100 && !node.fleet()->ready; ++i)
@@ -106,8 +107,8 @@
 int main()
 {
     node_settings settings;
-    settings.self = {state::named<state::node_id>("vm-1"),
-                     state::named<state::zone_id>("heredia-a"),
+    settings.self = {state::id_from_name<state::node_id>("vm-1"),
+                     state::id_from_name<state::zone_id>("heredia-a"),
                      {1},
                      0,
                      {},
--- a/examples/embed_length_estimator.cpp
+++ b/examples/embed_length_estimator.cpp
@@ -13,8 +13,8 @@
 
     coordination::length_estimator lengths{1000};
     auto const drafts =
-        lengths.open({state::named<state::customer_id>("frescura"),
-                      state::named<state::model_id>("lists"), state::work_kind::draft});
+        lengths.open({state::id_from_name<state::customer_id>("frescura"),
+                      state::id_from_name<state::model_id>("lists"), state::work_kind::draft});
 
     std::mt19937 random{1};
     std::lognormal_distribution<double> draw{7.3, 0.7};
--- a/include/plumdale/coordination/engine_ranking.hpp
+++ b/include/plumdale/coordination/balancing_strategy.hpp
@@ -13,13 +13,13 @@
 {
 
 /// \brief Chooses one of some upstreams.
-class engine_ranking
+class balancing_strategy
 {
 public:
-    engine_ranking() = default;
-    engine_ranking(engine_ranking const&) = delete;
-    engine_ranking& operator=(engine_ranking const&) = delete;
-    virtual ~engine_ranking() = default;
+    balancing_strategy() = default;
+    balancing_strategy(balancing_strategy const&) = delete;
+    balancing_strategy& operator=(balancing_strategy const&) = delete;
+    virtual ~balancing_strategy() = default;
 
     /// \brief Returns one of `candidates`, of which there is at least one.
     [[nodiscard]] virtual upstream_view const*
@@ -27,7 +27,7 @@
 };
 
 /// \brief One after the other.
-class round_robin final : public engine_ranking
+class round_robin final : public balancing_strategy
 {
 public:
     [[nodiscard]] upstream_view const*
@@ -38,7 +38,7 @@
 };
 
 /// \brief The one with the fewest streams of this entry VM.
-class least_connections final : public engine_ranking
+class least_connections final : public balancing_strategy
 {
 public:
     [[nodiscard]] upstream_view const*
@@ -46,7 +46,7 @@
 };
 
 /// \brief The one whose report shows the least memory in use.
-class least_reported_load final : public engine_ranking
+class least_reported_load final : public balancing_strategy
 {
 public:
     [[nodiscard]] upstream_view const*
@@ -54,7 +54,7 @@
 };
 
 /// \brief Of two at random, the one whose report shows less memory in use.
-class two_choices final : public engine_ranking
+class two_choices final : public balancing_strategy
 {
 public:
     explicit two_choices(std::uint64_t seed);
@@ -67,6 +67,6 @@
 
 /// \brief Returns the part of an upstream's memory that its report shows in use; 0 without a
 /// report.
-[[nodiscard]] double reported_fill(upstream_gauge const& gauge) noexcept;
+[[nodiscard]] double reported_utilization(upstream_gauge const& gauge) noexcept;
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/cold_share.hpp
+++ b/include/plumdale/coordination/cold_upstream_limiter.hpp
@@ -19,14 +19,15 @@
 /// Of each cold upstream's allowance a VM has an equal part; where that would be less than a
 /// request, some of the VMs, chosen by rank for each upstream, have one each. Example:
 /// \code
-/// cold_share share{fleet, self, started};
+/// cold_upstream_limiter share{fleet, self, started};
 /// if (share.may_send(member, limits, now)) { send(); share.note_sent(member, now); }
 /// \endcode
-class cold_share
+class cold_upstream_limiter
 {
 public:
     /// \brief `started`: when this process started.
-    cold_share(fleet_view const& fleet, state::node_id self, state::time_point started) noexcept
+    cold_upstream_limiter(fleet_view const& fleet, state::node_id self,
+                          state::time_point started) noexcept
         : fleet_{fleet}, self_{self}, started_{started}
     {
     }
@@ -40,7 +41,7 @@
 
     /// \brief A VM that has heard of a new peer lately, or has just started, doesn't know yet how
     /// many share: all of a fleet that lost power start with a fleet of one.
-    static constexpr state::duration settling = std::chrono::seconds{1};
+    static constexpr state::duration settling_time = std::chrono::seconds{1};
 
 private:
     [[nodiscard]] bool is_settled(state::time_point now) const noexcept;
@@ -49,7 +50,7 @@
     fleet_view const& fleet_;
     state::node_id self_;
     state::time_point started_;
-    std::unordered_map<state::member_key, std::deque<state::time_point>> sent_;
+    std::unordered_map<state::member_key, std::deque<state::time_point>> send_times_;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/configuration_offer.hpp
+++ b/include/plumdale/coordination/configuration_offer.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <plumdale/coordination/spread_tree.hpp>
+#include <plumdale/coordination/broadcast_tree.hpp>
 
 #include <cstddef>
 #include <cstdint>
@@ -24,7 +24,7 @@
     /// \brief Digest of the whole text.
     std::uint64_t digest = 0;
     /// \brief Those that the receiver passes it on to; none where the range is empty.
-    spread_range range;
+    broadcast_range range;
     bool has_range = false;
     /// \brief Empty when it is too large for a datagram: it is asked for then.
     std::string patch;
--- a/include/plumdale/coordination/configuration_reader.hpp
+++ b/include/plumdale/coordination/configuration_reader.hpp
@@ -31,7 +31,7 @@
         return next_;
     }
     /// \brief Returns whether several reads in a row failed.
-    [[nodiscard]] bool is_down() const noexcept;
+    [[nodiscard]] bool is_service_down() const noexcept;
     /// \brief Returns whether the last read that ended was good.
     [[nodiscard]] bool reachable() const noexcept
     {
@@ -39,17 +39,17 @@
     }
 
 private:
-    [[nodiscard]] state::duration spread(state::duration time);
+    [[nodiscard]] state::duration with_jitter(state::duration time);
 
     node_settings const& settings_;
     std::minstd_rand random_;
     bool outstanding_ = false;
-    bool waited_ = false;
+    bool is_long_poll_ = false;
     bool was_reader_ = false;
     bool read_once_ = false;
     std::uint32_t failures_ = 0;
-    std::uint64_t after_ = 0;
-    state::time_point started_{};
+    std::uint64_t last_revision_ = 0;
+    state::time_point started_at_{};
     state::time_point next_{};
 };
 
--- a/include/plumdale/coordination/content_exchange.hpp
+++ b/include/plumdale/coordination/content_exchange.hpp
@@ -44,17 +44,17 @@
     void advance(state::time_point now, control_actions& actions);
     /// \brief Adds names to a message: news first, and others when `differs` says that the
     /// receiver holds something else.
-    void complete(peer_message& message, bool differs);
+    void piggyback(peer_message& message, bool differs);
 
     [[nodiscard]] state::time_point next_deadline() const noexcept;
 
 private:
-    struct wanted
+    struct pending_fetch
     {
         state::content_ref ref;
         state::node_id peer;
         state::endpoint streams;
-        bool near = false;
+        bool in_own_zone = false;
         state::time_point due{};
     };
 
@@ -63,7 +63,7 @@
 
     content_store const& store_;
     state::member const& self_;
-    std::map<state::content_key, wanted> wanted_;
+    std::map<state::content_key, pending_fetch> pending_fetches_;
     update_queue<state::content_key> updates_;
     std::size_t next_index_ = 0;
 };
--- a/include/plumdale/coordination/content_store.hpp
+++ b/include/plumdale/coordination/content_store.hpp
@@ -51,7 +51,7 @@
     [[nodiscard]] std::vector<state::customer> const* customers() const noexcept;
     [[nodiscard]] std::vector<state::operator_account> const* operators() const noexcept;
     [[nodiscard]] state::operator_account const*
-    find_operator(state::key_digest const& key) const noexcept;
+    find_operator(state::sha256_digest const& key) const noexcept;
     /// \brief Returns the presets held, sorted by name.
     [[nodiscard]] std::vector<state::preset> presets() const;
     /// \brief Returns up to `count` names from the one at `index` on, round the end.
--- a/include/plumdale/coordination/control_events.hpp
+++ b/include/plumdale/coordination/control_events.hpp
@@ -72,7 +72,7 @@
 };
 
 /// \brief A read of the configuration failed; the service may be down.
-struct platform_failed
+struct configuration_read_failed
 {
 };
 
@@ -93,7 +93,7 @@
 struct operator_switch
 {
     state::exchange_handle exchange;
-    state::key_digest key{};
+    state::sha256_digest key{};
     state::preset_id preset;
     /// \brief Published revision that the switch overrides though it may be unseen here; zero for
     /// the one known here.
@@ -118,7 +118,7 @@
 struct upstream_leaving
 {
     state::upstream_id upstream;
-    state::incarnation uptime;
+    state::incarnation incarnation_number;
 };
 
 /// \brief An engine said which order it follows, after `read_order` or `send_order`.
@@ -153,7 +153,7 @@
 
 using control_event =
     std::variant<switch_published, preset_published, customers_published, operators_published,
-                 configuration_read, platform_failed, vm_list_read, vm_list_failed,
+                 configuration_read, configuration_read_failed, vm_list_read, vm_list_failed,
                  datagram_received, operator_switch, content_requested, content_unavailable,
                  upstream_leaving, order_read, order_failed, load_reported, load_unavailable,
                  drain_requested, process_paused, deadline_reached>;
--- a/include/plumdale/coordination/copy_schedule.hpp
+++ b/include/plumdale/coordination/copy_schedule.hpp
@@ -21,14 +21,14 @@
 };
 
 /// \brief Returns when the upstream is gone, as far as it is known.
-[[nodiscard]] state::time_point gone_at(departure const& leaving) noexcept;
+[[nodiscard]] state::time_point departure_time(departure const& leaving) noexcept;
 
 /// \brief Returns how long one copy of `tokens` takes on an idle link.
-[[nodiscard]] state::duration copy_time(state::engine_limits const& engine, std::uint64_t tokens,
-                                        bool to_other_zone) noexcept;
+[[nodiscard]] state::duration copy_duration(state::engine_limits const& engine,
+                                            std::uint64_t tokens, bool to_other_zone) noexcept;
 
 /// \brief When further copies of a generation are ordered, once the first is there.
-struct copy_times
+struct copy_schedule
 {
     /// \brief A copy that brings the first one up to date while the generation runs on.
     state::time_point refresh_at = state::never;
@@ -47,26 +47,26 @@
 /// first copies of all entry VMs are through, as worked out from what the fleet has there, but no
 /// longer than leaves it time: it stops its generation, and a link carries copies one after
 /// another. `fleet_tokens` and `fleet_calls`: what all entry VMs have there.
-[[nodiscard]] copy_times copy_times_for(departure const& leaving,
-                                        state::engine_limits const& engine,
-                                        std::uint64_t fleet_tokens,
-                                        std::uint32_t fleet_calls) noexcept;
+[[nodiscard]] copy_schedule schedule_copies(departure const& leaving,
+                                            state::engine_limits const& engine,
+                                            std::uint64_t fleet_tokens,
+                                            std::uint32_t fleet_calls) noexcept;
 
 /// \brief Shortest notice that is counted on.
-inline constexpr state::duration shortest_notice = std::chrono::milliseconds{1'500};
+inline constexpr state::duration min_notice = std::chrono::milliseconds{1'500};
 /// \brief How late a notice may be heard: pacing of the watch, the answer, a datagram.
-inline constexpr state::duration notice_delay = std::chrono::milliseconds{180};
+inline constexpr state::duration max_notice_delay = std::chrono::milliseconds{180};
 /// \brief Kept free before the departure: for ordering last copies, a refusal, and a second try.
 inline constexpr state::duration departure_margin = std::chrono::milliseconds{280};
 /// \brief Time for which one last copy holds an idle link.
-inline constexpr state::duration last_copy_time = std::chrono::milliseconds{10};
+inline constexpr state::duration last_copy_duration = std::chrono::milliseconds{10};
 /// \brief How long before the departure copies are refreshed: the moment is known to 60 ms, and
 /// refreshing ten generations takes the link for 100 ms.
 inline constexpr state::duration refresh_lead = std::chrono::milliseconds{200};
 /// \brief An upstream that is still there this long after it should be gone is not believed to
 /// leave by itself soon.
-inline constexpr state::duration overdue = std::chrono::milliseconds{400};
+inline constexpr state::duration overdue_after = std::chrono::milliseconds{400};
 /// \brief Time from the notice until the upstream's report has told when it leaves.
-inline constexpr state::duration departure_answer = std::chrono::milliseconds{700};
+inline constexpr state::duration departure_report_delay = std::chrono::milliseconds{700};
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/customer_shares.hpp
+++ b/include/plumdale/coordination/customer_shares.hpp
@@ -17,7 +17,7 @@
 {
 
 /// \brief What stands against a customer's request.
-enum class customer_standing : std::uint8_t
+enum class share_status : std::uint8_t
 {
     within_share,
     over_share, ///< It may use room that others leave, up to a stricter bound.
@@ -34,17 +34,17 @@
 public:
     /// \brief Takes over the customers of a snapshot.
     /// \param deciders Shards of all live entry VMs, between which hard limits are divided.
-    void use(std::span<state::customer const> customers, std::uint32_t deciders);
+    void configure(std::span<state::customer const> customers, std::uint32_t dispatchers);
     /// \brief Ages what was noted and works out the shares. To be called about twice a second.
     void refresh(state::time_point now);
 
     /// \brief Returns where a customer stands with a request of this kind. With a question it is
     /// over its share only when its questions alone are.
-    [[nodiscard]] customer_standing standing(state::customer_id customer,
-                                             state::work_kind kind) const noexcept;
+    [[nodiscard]] share_status status(state::customer_id customer,
+                                      state::work_kind kind) const noexcept;
 
     /// \brief Notes that a customer asked for about `tokens`, once a request.
-    void asked(state::customer_id customer, state::work_kind kind, double tokens);
+    void requested(state::customer_id customer, state::work_kind kind, double tokens);
     /// \brief Notes that it was given a place with about `tokens`.
     void granted(state::customer_id customer, double tokens);
     /// \brief Notes the end of a granted place that was counted as `expected` and took `tokens`.
@@ -61,14 +61,14 @@
         double demand = 0.0;
         double question_demand = 0.0;
         double usage = 0.0;
-        double fair = 0.0;
+        double fair_share = 0.0;
         /// \brief Tokens left under the rate limit.
-        double allowance = 0.0;
+        double available_tokens = 0.0;
     };
 
     std::unordered_map<state::customer_id, account> accounts_;
     state::time_point refreshed_{};
-    std::vector<account*> order_;
+    std::vector<account*> sorted_accounts_;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/dispatch_policy.hpp
+++ b/include/plumdale/coordination/dispatch_policy.hpp
@@ -18,7 +18,7 @@
 enum class dispatch_verdict : std::uint8_t
 {
     dispatch, ///< Send it to `upstream` now.
-    wait,     ///< Ask again at `ask_again`, or earlier when a stream of the model ends.
+    wait,     ///< Ask again at `reevaluate_at`, or earlier when a stream of the model ends.
     refuse    ///< Refuse at once with `kind` and `retry_after`.
 };
 
@@ -29,16 +29,16 @@
     upstream_view const* upstream = nullptr;
     state::error_kind kind = state::error_kind::overloaded;
     state::duration retry_after{};
-    state::time_point ask_again = state::never;
+    state::time_point reevaluate_at = state::never;
 };
 
 /// \brief What a policy may know of a request.
-struct dispatch_question
+struct dispatch_attempt
 {
     state::request const& request;
     state::time_point received;
     /// \brief Starts so far; above zero this is a retry.
-    std::uint32_t starts = 0;
+    std::uint32_t previous_starts = 0;
     /// \brief Upstreams that failed this request already.
     std::span<state::upstream_id const> failed;
 };
@@ -63,9 +63,8 @@
     virtual ~dispatch_policy() = default;
 
     /// \brief Decides on one request.
-    [[nodiscard]] virtual dispatch_decision decide(dispatch_question const& question,
-                                                   fleet_snapshot const& fleet,
-                                                   state::time_point now) = 0;
+    [[nodiscard]] virtual dispatch_decision
+    decide(dispatch_attempt const& attempt, fleet_snapshot const& fleet, state::time_point now) = 0;
     /// \brief A stream was opened to run `request` on `upstream`.
     virtual void started(state::stream_handle stream, state::request const& request,
                          upstream_view const& upstream, state::time_point now) = 0;
--- a/include/plumdale/coordination/drain.hpp
+++ b/include/plumdale/coordination/drain.hpp
@@ -28,15 +28,15 @@
     }
     [[nodiscard]] state::time_point next_deadline() const noexcept
     {
-        return begun_ && !finished_ ? next_ : state::never;
+        return begun_ && !finished_ ? next_check_at_ : state::never;
     }
 
 private:
     node_settings const& settings_;
     bool begun_ = false;
     bool finished_ = false;
-    state::time_point since_{};
-    state::time_point next_ = state::never;
+    state::time_point begun_at_{};
+    state::time_point next_check_at_ = state::never;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/entry_node.hpp
+++ b/include/plumdale/coordination/entry_node.hpp
@@ -2,7 +2,7 @@
 
 #include <plumdale/coordination/control_plane.hpp>
 #include <plumdale/coordination/dispatch_policy.hpp>
-#include <plumdale/coordination/identity.hpp>
+#include <plumdale/coordination/identity_signer.hpp>
 #include <plumdale/coordination/node_settings.hpp>
 #include <plumdale/coordination/published.hpp>
 #include <plumdale/coordination/request_shard.hpp>
@@ -41,10 +41,10 @@
     ~entry_node();
 
     /// \brief Returns the shard that decides on this request: the owner's for an identity, one
-    /// derived from the key for a keyed request, else `near` (below the number of shards), so that
-    /// a request can stay on the thread that read it.
+    /// derived from the key for a keyed request, else `preferred_shard` (below the number of
+    /// shards), so that a request can stay on the thread that read it.
     [[nodiscard]] std::uint32_t shard_for(state::request const& request,
-                                          std::uint32_t near) const noexcept;
+                                          std::uint32_t preferred_shard) const noexcept;
     /// \brief Returns the number of shards.
     [[nodiscard]] std::uint32_t shard_count() const noexcept;
 
@@ -64,7 +64,7 @@
     /// \brief Returns a reader of the published snapshot for one thread of its own.
     [[nodiscard]] cached_reader<fleet_snapshot> fleet_reader() const;
     /// \brief Returns a shard's counters, for metrics; safe from any thread.
-    [[nodiscard]] delivery_counts const& delivery(std::uint32_t shard) const noexcept;
+    [[nodiscard]] delivery_counts const& shard_counts(std::uint32_t shard) const noexcept;
     /// \brief Returns the number of requests in flight.
     [[nodiscard]] std::uint32_t in_flight() const noexcept;
 
--- a/include/plumdale/coordination/evacuation_orders.hpp
+++ b/include/plumdale/coordination/evacuation_orders.hpp
@@ -29,12 +29,13 @@
 public:
     /// \brief Takes the whole set as of a revision; returns what it changed, nothing if an equally
     /// new one is known.
-    std::vector<state::evacuation_change> take(state::evacuations const& heard,
+    std::vector<state::evacuation_change> take(state::evacuations const& received,
                                                state::time_point now);
     /// \brief Takes the changes up to revision `as_of`, which follow on a revision that is known;
     /// returns what they changed.
-    std::vector<state::evacuation_change> follow(std::span<state::evacuation_change const> changes,
-                                                 std::uint64_t as_of, state::time_point now);
+    std::vector<state::evacuation_change>
+    apply_changes(std::span<state::evacuation_change const> changes, std::uint64_t as_of,
+                  state::time_point now);
 
     [[nodiscard]] bool covers(state::zone_id zone) const noexcept;
     /// \brief Returns when a zone's last order was taken back, as learnt here; the epoch if none
@@ -49,13 +50,13 @@
     static constexpr std::size_t capacity = 32;
 
 private:
-    [[nodiscard]] bool lacks_kept(state::evacuations const& heard) const;
+    [[nodiscard]] bool lacks_retained_zone(state::evacuations const& received) const;
     std::vector<state::evacuation_change> replace(std::vector<state::evacuation> in_force,
                                                   state::time_point now);
 
     state::evacuations known_;
     /// \brief Zones whose orders the store lacked when it came back from a copy.
-    std::vector<state::zone_id> kept_;
+    std::vector<state::zone_id> retained_zones_;
     std::unordered_map<state::zone_id, state::time_point> ended_at_;
 };
 
--- a/include/plumdale/coordination/evidence_exchange.hpp
+++ b/include/plumdale/coordination/evidence_exchange.hpp
@@ -15,9 +15,9 @@
 struct evidence_answer
 {
     /// \brief What is known here.
-    bool tells = false;
+    bool should_send = false;
     /// \brief A question for what is known there.
-    bool asks = false;
+    bool should_request = false;
 };
 
 /// \brief Decides by the digests in peers' messages who tells whom.
@@ -31,33 +31,33 @@
 {
 public:
     /// \brief A peer's message beside what is known here.
-    struct sighting
+    struct observation
     {
         std::uint64_t own_digest = 0;
-        std::uint64_t heard_digest = 0;
-        bool is_question = false;
+        std::uint64_t peer_digest = 0;
+        bool is_request = false;
         std::size_t peers = 0;
         /// \brief A random number.
-        std::uint64_t draw = 0;
+        std::uint64_t random_value = 0;
     };
 
-    [[nodiscard]] evidence_answer heard(sighting const& seen, state::time_point now);
+    [[nodiscard]] evidence_answer received(observation const& seen, state::time_point now);
 
     /// \brief News of a change reach all within this; above it a difference is a loss.
-    static constexpr state::duration settling = std::chrono::milliseconds{300};
+    static constexpr state::duration propagation_time = std::chrono::milliseconds{300};
     /// \brief Between two questions.
-    static constexpr state::duration question_pause = std::chrono::milliseconds{200};
+    static constexpr state::duration min_request_interval = std::chrono::milliseconds{200};
     /// \brief Between two answers that nobody asked for, and how many VMs give one on average to
     /// one that shows by its own messages that it lacks something.
-    static constexpr state::duration telling_pause = std::chrono::milliseconds{50};
-    static constexpr std::size_t tellers = 3;
+    static constexpr state::duration min_unsolicited_interval = std::chrono::milliseconds{50};
+    static constexpr std::size_t unsolicited_senders = 3;
 
 private:
     std::uint64_t own_digest_ = 0;
     /// \brief When a peer last knew the same, or what is known here last changed.
     state::time_point agreed_at_{};
-    state::time_point told_at_{};
-    state::time_point asked_at_{};
+    state::time_point sent_at_{};
+    state::time_point requested_at_{};
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/fair_queue.hpp
+++ b/include/plumdale/coordination/fair_queue.hpp
@@ -24,16 +24,16 @@
 {
 public:
     /// \brief Requests that share a queue.
-    struct lane
+    struct flow_key
     {
         state::customer_id customer;
         state::work_kind kind = state::work_kind::question;
         state::model_id model;
-        friend auto operator<=>(lane const&, lane const&) noexcept = default;
+        friend auto operator<=>(flow_key const&, flow_key const&) noexcept = default;
     };
 
-    void push(lane const& where, state::generation_id const& id);
-    void remove(lane const& where, state::generation_id const& id);
+    void push(flow_key const& flow, state::generation_id const& id);
+    void remove(flow_key const& flow, state::generation_id const& id);
     /// \brief Appends the first request of at most `count` lanes, continuing after the lane that
     /// was last asked first.
     void heads(std::size_t count, std::vector<state::generation_id>& out);
@@ -43,8 +43,8 @@
     }
 
 private:
-    std::map<lane, std::deque<state::generation_id>> lanes_;
-    lane last_;
+    std::map<flow_key, std::deque<state::generation_id>> flows_;
+    flow_key last_served_;
     std::size_t size_ = 0;
 };
 
--- a/include/plumdale/coordination/finished_generations.hpp
+++ b/include/plumdale/coordination/finished_generations.hpp
@@ -40,7 +40,8 @@
 class finished_generations
 {
 public:
-    finished_generations(state::duration time, std::uint32_t count, std::size_t text_bytes);
+    finished_generations(state::duration retention_time, std::uint32_t count,
+                         std::size_t max_text_bytes);
 
     void remember(std::uint64_t sequence, finished_generation entry, state::time_point now);
     /// \brief Returns the entry, or null when it never ended here or was forgotten.
@@ -51,7 +52,7 @@
     }
 
 private:
-    struct age
+    struct ended_entry
     {
         std::uint64_t sequence;
         state::time_point ended;
@@ -59,12 +60,12 @@
 
     void erase(std::uint64_t sequence);
 
-    state::duration time_;
-    std::uint32_t count_;
-    std::size_t text_bytes_;
-    std::size_t text_kept_ = 0;
+    state::duration retention_time_;
+    std::uint32_t max_entries_;
+    std::size_t max_text_bytes_;
+    std::size_t retained_text_bytes_ = 0;
     std::unordered_map<std::uint64_t, finished_generation> entries_;
-    std::deque<age> ages_;
+    std::deque<ended_entry> by_end_time_;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/repeat_allowance.hpp
+++ b/include/plumdale/coordination/fleet_retry_budget.hpp
@@ -14,7 +14,7 @@
 
 /// \brief The fleet's allowance: over any window, sends beyond the first of each call may be at
 /// most `ratio` of the calls plus `slack`.
-struct allowance_terms
+struct fleet_retry_limit
 {
     double ratio = 0.0;
     double slack = 0.0;
@@ -27,14 +27,14 @@
 /// share of the members that it knows; while it knows fewer than it may have, of the most it has
 /// known. Example:
 /// \code
-/// repeat_allowance allowance{{0.2, 58, 10s}};
+/// fleet_retry_budget allowance{{0.2, 58, 10s}};
 /// allowance.note_call(now);
 /// if (allowance.take(now, members)) { /* send once more */ }
 /// \endcode
-class repeat_allowance
+class fleet_retry_budget
 {
 public:
-    explicit repeat_allowance(allowance_terms terms) noexcept;
+    explicit fleet_retry_budget(fleet_retry_limit limit) noexcept;
 
     void note_call(state::time_point now) noexcept;
     /// \brief Spends one repeat if one is left; `members` is how many entry VMs share the slack.
@@ -42,18 +42,18 @@
 
     /// \brief Part of the terms that is used. Windows slide and datagrams get lost, so a part is
     /// left for what peers count otherwise.
-    static constexpr double used_part = 0.7;
+    static constexpr double used_fraction = 0.7;
 
 private:
     /// \brief Parts of a window that are counted on their own.
-    static constexpr std::size_t parts = 10;
+    static constexpr std::size_t slot_count = 10;
 
-    void move_to(state::time_point now) noexcept;
+    void advance_to(state::time_point now) noexcept;
 
-    allowance_terms terms_;
-    std::array<std::uint32_t, parts> calls_{};
-    std::array<std::uint32_t, parts> repeats_{};
-    std::int64_t newest_ = 0;
+    fleet_retry_limit limit_;
+    std::array<std::uint32_t, slot_count> calls_{};
+    std::array<std::uint32_t, slot_count> retries_{};
+    std::int64_t newest_slot_ = 0;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/fleet_snapshot.hpp
+++ b/include/plumdale/coordination/fleet_snapshot.hpp
@@ -63,10 +63,11 @@
     [[nodiscard]] upstream_view const* find_upstream(state::upstream_id id) const noexcept;
     /// \brief Returns the customer with this API key, or null; compares every digest in constant
     /// time.
-    [[nodiscard]] state::customer const* find_customer(state::key_digest const& key) const noexcept;
+    [[nodiscard]] state::customer const*
+    find_customer(state::sha256_digest const& key) const noexcept;
     /// \brief Returns the operator with this key, or null; compares every digest in constant time.
     [[nodiscard]] state::operator_account const*
-    find_operator(state::key_digest const& key) const noexcept;
+    find_operator(state::sha256_digest const& key) const noexcept;
     /// \brief Returns the member with this id, or null.
     [[nodiscard]] state::member const* find_member(state::node_id id) const noexcept;
 };
--- a/include/plumdale/coordination/fleet_news.hpp
+++ b/include/plumdale/coordination/fleet_update.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
+#include <plumdale/coordination/broadcast_tree.hpp>
 #include <plumdale/coordination/load_ledger.hpp>
 #include <plumdale/coordination/request_quarantine.hpp>
-#include <plumdale/coordination/spread_tree.hpp>
 #include <plumdale/state/evacuation.hpp>
 #include <plumdale/state/identifier.hpp>
 #include <plumdale/state/service_member.hpp>
@@ -19,15 +19,15 @@
 {
 
 /// \brief How far a reader of the platform's store has got, as its reads are counted by itself.
-struct reader_beat
+struct reader_heartbeat
 {
     state::node_id reader;
     /// \brief Grows with each read of the reader, across its starts too; zero before the first.
-    std::uint64_t beat = 0;
+    std::uint64_t heartbeat = 0;
 };
 
 /// \brief One message of an entry VM to the others.
-struct fleet_news
+struct fleet_update
 {
     /// \brief Most rows of a message, so that a datagram is never fragmented.
     static constexpr std::size_t max_loads = 32;
@@ -37,7 +37,7 @@
     static constexpr std::size_t max_limits = 24;
 
     state::node_id sender;
-    state::incarnation uptime;
+    state::incarnation incarnation_number;
     /// \brief Grows with each message of this uptime.
     std::uint64_t sequence = 0;
     /// \brief Version of the configuration that the sender follows; zero if none.
@@ -47,8 +47,8 @@
     /// \brief Age of what the sender last read from the platform itself, in milliseconds.
     std::uint32_t platform_age_ms = UINT32_MAX;
     /// \brief The sender's own reads; those of others that it counts on are in `readers`.
-    std::uint64_t beat = 0;
-    std::vector<reader_beat> readers;
+    std::uint64_t heartbeat = 0;
+    std::vector<reader_heartbeat> readers;
     /// \brief All orders of evacuation that the sender knows; as of zero where it doesn't tell.
     state::evacuations evacuations;
     /// \brief The rows are all of the sender's; else only those that changed.
@@ -60,11 +60,11 @@
     std::uint64_t quarantine = 0;
     std::vector<request_evidence> evidence;
     /// \brief The sender lacks evidence, and is to be told what the receiver knows.
-    bool asks_evidence = false;
+    bool requests_evidence = false;
     std::vector<state::stated_limit> limits;
     /// \brief Number of the message that the receiver passes on within `range`; zero for none.
     std::uint64_t spread = 0;
-    spread_range range;
+    broadcast_range range;
     bool has_range = false;
 };
 
--- a/include/plumdale/coordination/generation_admission.hpp
+++ b/include/plumdale/coordination/generation_admission.hpp
@@ -12,43 +12,43 @@
 {
 
 /// \brief A generation that asks to be sent.
-struct generation_claim
+struct admission_request
 {
     /// \brief Tokens that it is expected to generate.
     std::uint32_t output_tokens = 0;
     /// \brief Its caller was refused before: its answer can only be late.
-    bool comes_back = false;
+    bool is_retry = false;
     /// \brief Time since its call was read.
     state::duration waited{};
     /// \brief Time to the first event within which the answer is on time.
     state::duration objective{};
     /// \brief Longest silence that its caller bears.
-    state::duration patience{};
+    state::duration silence_timeout{};
     /// \brief Time to its first event at an upstream that reads nothing else.
-    state::duration own_first_event{};
+    state::duration min_time_to_first_event{};
 };
 
 /// \brief What keeps a generation from being sent now.
 enum class admission_limit : std::uint8_t
 {
     none,
-    memory,      ///< The upstream's memory is too full for its length.
-    first_event, ///< Its first event would come too late.
-    fresh_first  ///< It comes back, and the service has no memory to spare beside fresh ones.
+    memory,              ///< The upstream's memory is too full for its length.
+    time_to_first_event, ///< Its first event would come too late.
+    retry_yields ///< It comes back, and the service has no memory to spare beside fresh ones.
 };
 
 /// \brief Returns the name of a limit for log lines.
 [[nodiscard]] std::string_view limit_name(admission_limit limit) noexcept;
 
 /// \brief The best upstream there is for it, and the service as a whole.
-struct generation_room
+struct projected_load
 {
     /// \brief Projected share of the upstream's memory, with this generation.
     double fullness = 0.0;
     /// \brief Mean projected share of memory over the service's upstreams.
     double mean_fullness = 0.0;
     /// \brief Worked-out time until its first event there.
-    state::duration first_event{};
+    state::duration time_to_first_event{};
 };
 
 /// \brief Returns the share of memory up to which an upstream takes a generation of this length.
@@ -56,7 +56,7 @@
 
 /// \brief Returns whether a generation yields to all that can still be on time: a long one whose
 /// caller comes back.
-[[nodiscard]] bool yields_to_fresh(generation_claim const& claim) noexcept;
+[[nodiscard]] bool yields_to_first_attempts(admission_request const& request) noexcept;
 
 /// \brief Returns what keeps a generation from being sent now, if anything.
 ///
@@ -64,21 +64,21 @@
 /// VM, where it can still be sent anywhere or truly refused, and not in an upstream's queue.
 ///
 /// Example: `if (limit_for(claim, {0.8, 0.7, 400ms}) == admission_limit::none) { send(); }`
-[[nodiscard]] admission_limit limit_for(generation_claim const& claim,
-                                        generation_room const& room) noexcept;
+[[nodiscard]] admission_limit limit_for(admission_request const& request,
+                                        projected_load const& load) noexcept;
 
 /// \brief Returns whether a generation may be sent now.
-[[nodiscard]] inline bool admits(generation_claim const& claim,
-                                 generation_room const& room) noexcept
+[[nodiscard]] inline bool admits(admission_request const& request,
+                                 projected_load const& load) noexcept
 {
-    return limit_for(claim, room) == admission_limit::none;
+    return limit_for(request, load) == admission_limit::none;
 }
 
 /// \brief Returns how long a generation may wait in the entry VM before it is refused.
-[[nodiscard]] state::duration longest_wait(generation_claim const& claim) noexcept;
+[[nodiscard]] state::duration longest_wait(admission_request const& request) noexcept;
 
 /// \brief Returns when a refused caller is told to come back, for a draw in [0, 1).
-[[nodiscard]] state::duration come_back_after(state::duration time_left, double draw) noexcept;
+[[nodiscard]] state::duration draw_retry_after(state::duration time_left, double draw) noexcept;
 
 /// \brief Shorter answers end before their memory counts: 100 tokens last about a second.
 inline constexpr std::uint32_t long_answer_tokens = 100;
--- a/include/plumdale/coordination/generation_life.hpp
+++ b/include/plumdale/coordination/generation_lifecycle.hpp
@@ -11,7 +11,7 @@
 namespace plumdale::coordination
 {
 
-enum class life_state : std::uint8_t
+enum class lifecycle_state : std::uint8_t
 {
     reserved,  ///< An identity was given out; nothing runs.
     waiting,   ///< To be dispatched.
@@ -22,7 +22,7 @@
     failed
 };
 
-enum class life_event : std::uint8_t
+enum class lifecycle_event : std::uint8_t
 {
     run,      ///< The caller wants it to run.
     read,     ///< The caller wants to read what ran already.
@@ -38,34 +38,34 @@
 /// \brief Allows the moves that `docs/design/03-delivery.md` lists and no others.
 ///
 /// A Boost.MSM machine in place; its header stays in the source. Example:
-/// `generation_life life; life.apply(life_event::run); // life.state() == waiting`
-class generation_life
+/// `generation_lifecycle life; life.apply(lifecycle_event::run); // life.state() == waiting`
+class generation_lifecycle
 {
 public:
-    generation_life();
-    generation_life(generation_life const&) = delete;
-    generation_life& operator=(generation_life const&) = delete;
-    ~generation_life();
+    generation_lifecycle();
+    generation_lifecycle(generation_lifecycle const&) = delete;
+    generation_lifecycle& operator=(generation_lifecycle const&) = delete;
+    ~generation_lifecycle();
 
     /// \brief Makes a move; returns false, and stays, when the state does not allow it.
-    [[nodiscard]] bool apply(life_event event);
-    [[nodiscard]] life_state state() const noexcept
+    [[nodiscard]] bool apply(lifecycle_event event);
+    [[nodiscard]] lifecycle_state state() const noexcept
     {
         return state_;
     }
     /// \brief Returns whether an upstream may be working on it.
-    [[nodiscard]] bool on_upstream() const noexcept
+    [[nodiscard]] bool may_be_running() const noexcept
     {
-        return state_ >= life_state::starting && state_ <= life_state::resuming;
+        return state_ >= lifecycle_state::starting && state_ <= lifecycle_state::resuming;
     }
 
 private:
     static constexpr std::size_t machine_bytes = 32;
     alignas(std::max_align_t) std::array<std::byte, machine_bytes> machine_;
-    life_state state_ = life_state::reserved;
+    lifecycle_state state_ = lifecycle_state::reserved;
 };
 
 /// \brief Returns the name of a state, for status pages.
-[[nodiscard]] std::string_view life_state_name(life_state state) noexcept;
+[[nodiscard]] std::string_view lifecycle_state_name(lifecycle_state state) noexcept;
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/identity.hpp
+++ b/include/plumdale/coordination/identity_signer.hpp
@@ -19,20 +19,20 @@
 class identity_signer
 {
 public:
-    /// \brief Signs with `fleet_key`; identities made with one of `accepted` are genuine as well,
-    /// so that the key can be changed while callers hold identities.
+    /// \brief Signs with `fleet_key`; identities made with one of `accepted_keys` are genuine as
+    /// well, so that the key can be changed while callers hold identities.
     explicit identity_signer(std::string_view fleet_key,
-                             std::span<std::string const> accepted = {});
+                             std::span<std::string const> accepted_keys = {});
 
     /// \brief Returns a signed identity.
-    [[nodiscard]] state::generation_id mint(state::node_id owner, state::incarnation uptime,
-                                            std::uint64_t sequence) const;
+    [[nodiscard]] state::generation_id
+    mint(state::node_id owner, state::incarnation incarnation_number, std::uint64_t sequence) const;
     /// \brief Returns whether the MAC fits the other fields; takes the same time either way.
     [[nodiscard]] bool verify(state::generation_id const& id) const;
 
 private:
     std::string fleet_key_;
-    std::vector<std::string> accepted_;
+    std::vector<std::string> accepted_keys_;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/key_homes.hpp
+++ b/include/plumdale/coordination/key_homes.hpp
@@ -15,16 +15,16 @@
 {
 
 /// \brief Bounds of `key_homes`.
-struct key_home_bounds
+struct key_home_settings
 {
     /// \brief How long after its first attempt a key may be repeated.
     state::duration window;
     /// \brief How long a home has to be dead before the next VM takes its keys.
     state::duration takeover_delay;
     /// \brief Entry VMs that settings name, this one included; fewer known means that more exist.
-    std::size_t expected = 1;
+    std::size_t configured_nodes = 1;
     /// \brief False lets any dead home's keys pass on at once; for tests of what that breaks.
-    bool guarded_takeover = true;
+    bool takeover_safeguard = true;
 };
 
 /// \brief Rendezvous hashing of keys over entry VMs, with the memory of who may have been home.
@@ -33,44 +33,44 @@
 class key_homes
 {
 public:
-    key_homes(state::node_id self, key_home_bounds bounds);
+    key_homes(state::node_id self, key_home_settings settings);
 
     /// \brief Notes the members as they are known at `now`.
     void observe(std::span<state::member const> members, state::time_point now);
     /// \brief Returns the VM that decides on `key` now.
-    [[nodiscard]] state::node_id home_of(state::key_id key) const noexcept;
+    [[nodiscard]] state::node_id home_of(state::idempotency_key_id key) const noexcept;
     /// \brief Returns whether no other VM can have been home to `key` within the window.
-    [[nodiscard]] bool home_all_along(state::key_id key) const noexcept;
+    [[nodiscard]] bool home_throughout_window(state::idempotency_key_id key) const noexcept;
     /// \brief Returns whether more than half of the known VMs can be heard.
-    [[nodiscard]] bool majority() const noexcept
+    [[nodiscard]] bool in_majority() const noexcept
     {
-        return majority_;
+        return in_majority_;
     }
     /// \brief Returns whether as many VMs are known as the settings name.
-    [[nodiscard]] bool complete() const noexcept;
+    [[nodiscard]] bool knows_all_nodes() const noexcept;
 
 private:
-    struct sighting
+    struct node_observation
     {
-        state::incarnation uptime;
-        state::time_point alive_at = state::time_point::min();
+        state::incarnation incarnation_number;
+        state::time_point last_alive_at = state::time_point::min();
         state::time_point dead_since = state::never;
-        state::time_point gone_since = state::never;
+        state::time_point unlisted_since = state::never;
         bool left = false;
         std::uint64_t round = 0; ///< Last observation that listed it.
     };
 
-    void note(state::member const& each, state::time_point now);
-    [[nodiscard]] bool may_take_over(sighting const& dead) const noexcept;
+    void observe_member(state::member const& each, state::time_point now);
+    [[nodiscard]] bool may_take_over(node_observation const& dead) const noexcept;
 
-    [[nodiscard]] bool hears_majority() const noexcept;
+    [[nodiscard]] bool majority_is_alive() const noexcept;
 
     state::node_id self_;
-    key_home_bounds bounds_;
+    key_home_settings settings_;
     state::time_point now_{};
     std::uint64_t round_ = 0;
-    bool majority_ = false;
-    std::unordered_map<state::node_id, sighting> seen_;
+    bool in_majority_ = false;
+    std::unordered_map<state::node_id, node_observation> observations_;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/least_in_flight.hpp
+++ b/include/plumdale/coordination/least_in_flight.hpp
@@ -15,7 +15,7 @@
 class least_in_flight final : public dispatch_policy
 {
 public:
-    [[nodiscard]] dispatch_decision decide(dispatch_question const& question,
+    [[nodiscard]] dispatch_decision decide(dispatch_attempt const& attempt,
                                            fleet_snapshot const& fleet,
                                            state::time_point now) override;
     void started(state::stream_handle stream, state::request const& request,
--- a/include/plumdale/coordination/leaving_marks.hpp
+++ b/include/plumdale/coordination/leaving_marks.hpp
@@ -26,12 +26,12 @@
     /// \brief Marks this uptime and those before it; returns whether it was news.
     bool add(leaving_mark mark, std::size_t fleet_size);
     /// \brief A later uptime of the upstream exists: its mark has served.
-    void settle(state::upstream_id upstream, state::incarnation newest);
+    void prune(state::upstream_id upstream, state::incarnation newest);
     [[nodiscard]] bool is_leaving(state::upstream_id upstream,
-                                  state::incarnation uptime) const noexcept;
+                                  state::incarnation incarnation_number) const noexcept;
 
     /// \brief Adds marks to a message: news first, then others when the receiver's digest differs.
-    void complete(peer_message& message, bool differs);
+    void piggyback(peer_message& message, bool differs);
     [[nodiscard]] std::uint64_t digest() const noexcept
     {
         return digest_;
--- a/include/plumdale/coordination/length_estimator.hpp
+++ b/include/plumdale/coordination/length_estimator.hpp
@@ -41,40 +41,41 @@
 class length_estimator
 {
 public:
-    using cell_id = std::uint32_t;
+    using estimate_id = std::uint32_t;
 
     /// \brief Holds at most `capacity` keys, and one estimate more for each model and kind.
     explicit length_estimator(std::size_t capacity);
 
     /// \brief Returns the cell of a key and holds it until `close`.
-    [[nodiscard]] cell_id open(length_key const& key);
+    [[nodiscard]] estimate_id open(length_key const& key);
     /// \brief Releases a cell; its estimate is kept while there is room.
-    void close(cell_id id) noexcept;
+    void close(estimate_id id) noexcept;
 
     /// \brief Notes that an output of this cell grew from `from` to `to` tokens.
-    void advance(cell_id cell, std::uint32_t from, std::uint32_t to) noexcept;
+    void advance(estimate_id estimate, std::uint32_t from, std::uint32_t to) noexcept;
     /// \brief Notes that an output of this cell ended by itself after `tokens` tokens.
-    void finish(cell_id cell, std::uint32_t tokens) noexcept;
+    void finish(estimate_id estimate, std::uint32_t tokens) noexcept;
 
     /// \brief Returns the chance that an output of `so_far` tokens gets more than `more` further
     /// ones, 0 to 1.
-    [[nodiscard]] double survival(cell_id cell, std::uint32_t so_far, double more) const noexcept;
+    [[nodiscard]] double survival(estimate_id estimate, std::uint32_t so_far,
+                                  double more) const noexcept;
     /// \brief Returns the expected number of further tokens, counting at most `within`.
-    [[nodiscard]] double expected_remaining(cell_id cell, std::uint32_t so_far,
+    [[nodiscard]] double expected_remaining(estimate_id estimate, std::uint32_t so_far,
                                             double within) const noexcept;
 
     /// \brief Returns the number of cells held.
     [[nodiscard]] std::size_t size() const noexcept;
     /// \brief Returns the memory of one cell in bytes.
-    [[nodiscard]] static constexpr std::size_t cell_bytes() noexcept;
+    [[nodiscard]] static constexpr std::size_t estimate_bytes() noexcept;
 
 private:
     static constexpr std::size_t buckets = 52;
 
-    struct cell
+    struct estimate
     {
         length_key key;
-        cell_id parent = 0;
+        estimate_id parent = 0;
         std::uint32_t open = 0;
         std::uint64_t last_used = 0;
         /// \brief Outputs that entered each range, and how many of them ended in it; both decayed.
@@ -90,26 +91,26 @@
         std::size_t operator()(length_key const& key) const noexcept;
     };
 
-    [[nodiscard]] cell_id parent_of(length_key const& key);
-    [[nodiscard]] cell_id insert(length_key const& key, cell_id parent);
-    [[nodiscard]] cell_id least_recent() const noexcept;
-    void changed(cell& each) noexcept;
-    void rebuild(cell& each) const noexcept;
+    [[nodiscard]] estimate_id parent_of(length_key const& key);
+    [[nodiscard]] estimate_id insert(length_key const& key, estimate_id parent);
+    [[nodiscard]] estimate_id least_recently_used() const noexcept;
+    void rebuild_if_due(estimate& each) noexcept;
+    void rebuild(estimate& each) const noexcept;
     /// \brief Returns the chance that an output of a cell ends with the next token, at any length.
-    [[nodiscard]] static double ending_rate(cell const& each) noexcept;
-    static void enter(cell& each, std::size_t bucket, float limit) noexcept;
+    [[nodiscard]] static double ending_rate(estimate const& each) noexcept;
+    static void enter(estimate& each, std::size_t bucket, float limit) noexcept;
     static std::size_t bucket_of(std::uint32_t tokens) noexcept;
 
     std::size_t capacity_;
     std::uint64_t uses_ = 0;
     std::size_t keys_ = 0;
-    std::vector<cell> cells_;
-    std::unordered_map<length_key, cell_id, key_hash> index_;
+    std::vector<estimate> estimates_;
+    std::unordered_map<length_key, estimate_id, key_hash> index_;
 };
 
-constexpr std::size_t length_estimator::cell_bytes() noexcept
+constexpr std::size_t length_estimator::estimate_bytes() noexcept
 {
-    return sizeof(cell);
+    return sizeof(estimate);
 }
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/load_collection.hpp
+++ b/include/plumdale/coordination/load_collector.hpp
@@ -26,20 +26,20 @@
 
 /// \brief Small fleets read every engine at every node. In larger ones each engine of the own zone
 /// is read by the nodes responsible for it by rendezvous hashing, which share summaries.
-class load_collection
+class load_collector
 {
 public:
-    load_collection(node_settings const& settings, state::member const& self,
-                    state::member_table const& members)
+    load_collector(node_settings const& settings, state::member const& self,
+                   state::member_table const& members)
         : settings_{settings}, self_{self}, members_{members}
     {
     }
 
     void advance(fleet_snapshot const& fleet, state::time_point now, control_actions& actions);
     /// \brief Notes an own report, to be shared.
-    void reported(state::load_report const& report, state::time_point now);
+    void add_report(state::load_report const& report, state::time_point now);
     /// \brief Adds summaries to a message for a member of the own zone.
-    void complete(peer_message& message, state::time_point now);
+    void piggyback(peer_message& message, state::time_point now);
 
     [[nodiscard]] state::time_point next_deadline() const noexcept
     {
@@ -50,13 +50,13 @@
     struct shared_report
     {
         state::load_report report;
-        state::time_point at{};
+        state::time_point received_at{};
     };
 
     node_settings const& settings_;
     state::member const& self_;
     state::member_table const& members_;
-    bool shares_ = false;
+    bool is_sharing_ = false;
     std::vector<shared_report> reports_;
     std::size_t next_index_ = 0;
     state::time_point next_{};
--- a/include/plumdale/coordination/load_book.hpp
+++ b/include/plumdale/coordination/load_forecaster.hpp
@@ -49,16 +49,16 @@
 /// this entry VM when the report was true; it is assumed to grow and to end as own streams do. So a
 /// lost report costs only the change of the others' part, and that part can't fall below zero or
 /// rise above the engine's memory, whatever a report says.
-class load_book
+class load_forecaster
 {
 public:
-    explicit load_book(length_estimator& lengths);
+    explicit load_forecaster(length_estimator& lengths);
 
     /// \brief Looks at all engines that own streams run on: learns their growth, and the rates of
     /// tokens and dispatches. To be called some times a second.
     /// \param deciders How many shards of entry VMs send to one of these engines, on average, this
     /// one included.
-    void refresh(std::span<upstream_view const* const> engines, double deciders,
+    void refresh(std::span<upstream_view const* const> engines, double dispatchers,
                  state::duration horizon, state::time_point now);
 
     /// \brief Returns the forecast of one engine.
@@ -66,14 +66,14 @@
                                            state::time_point now) const noexcept;
     /// \brief Returns the forecast of one stream that holds `held` tokens, `so_far` of them its
     /// output.
-    [[nodiscard]] load_forecast forecast(length_estimator::cell_id cell, std::uint32_t so_far,
-                                         std::uint32_t held,
+    [[nodiscard]] load_forecast forecast(length_estimator::estimate_id estimate,
+                                         std::uint32_t so_far, std::uint32_t held,
                                          std::uint32_t max_tokens) const noexcept;
 
-    /// \brief Replaces one stream's part of a gauge; `was` is empty for a new stream and `is` for
-    /// one that ended.
-    static void replace(upstream_gauge& gauge, stream_load const& was, stream_load const& is,
-                        state::time_point now) noexcept;
+    /// \brief Replaces one stream's part of a gauge; `before` is empty for a new stream and `after`
+    /// for one that ended.
+    static void update_gauge(upstream_gauge& gauge, stream_load const& before,
+                             stream_load const& after, state::time_point now) noexcept;
     /// \brief Rounds a forecast to what gauges count.
     [[nodiscard]] static stream_load rounded(double held, load_forecast const& forecast) noexcept;
 
@@ -82,19 +82,19 @@
     /// \brief Returns the tokens a second that one stream gets.
     [[nodiscard]] double token_rate() const noexcept;
     /// \brief Returns the horizon points in seconds.
-    [[nodiscard]] std::array<double, horizon_points> const& points() const noexcept;
+    [[nodiscard]] std::array<double, horizon_points> const& horizon_seconds() const noexcept;
 
 private:
     length_estimator& lengths_;
-    std::array<double, horizon_points> points_{5.0, 10.0, 20.0};
+    std::array<double, horizon_points> horizon_seconds_{5.0, 10.0, 20.0};
     /// \brief Others' tokens at each point, and their variance, for each token they hold now.
-    std::array<double, horizon_points> ratio_{1.0, 1.0, 1.0};
-    std::array<double, horizon_points> spread_{};
+    std::array<double, horizon_points> growth_ratio_{1.0, 1.0, 1.0};
+    std::array<double, horizon_points> variance_per_token_{};
     /// \brief Others' streams a second that start on one engine, and the tokens of one.
-    double others_rate_ = 0.0;
+    double others_start_rate_ = 0.0;
     double stream_tokens_ = 0.0;
     /// \brief Others' streams that are taken to follow each own one until the next report.
-    double alike_ = 0.0;
+    double unreported_per_own_ = 0.0;
     double token_rate_ = 30.0;
     std::uint64_t tokens_ = 0;
     std::uint64_t dispatched_ = 0;
--- a/include/plumdale/coordination/load_ledger.hpp
+++ b/include/plumdale/coordination/load_ledger.hpp
@@ -26,7 +26,7 @@
     std::uint32_t tokens_at_end = 0;
     /// \brief Prompt tokens of calls that have no event yet: what an upstream reads before another
     /// call's first event.
-    std::uint32_t unread = 0;
+    std::uint32_t pending_prefill_tokens = 0;
 
     friend constexpr bool operator==(member_load const&, member_load const&) noexcept = default;
 };
@@ -49,11 +49,11 @@
     void add(state::member_key member, member_load const& load);
     void remove(state::member_key member, member_load const& load);
 
-    /// \brief Takes a peer's rows; with `whole`, members that are not named have none of its calls.
-    /// News that was overtaken within one uptime of the peer is dropped; another uptime starts
-    /// anew.
-    void take(state::node_id peer, state::incarnation uptime, std::uint64_t sequence, bool whole,
-              std::span<member_load const> rows, state::time_point now);
+    /// \brief Takes a peer's rows; with `is_complete`, members that are not named have none of its
+    /// calls. News that was overtaken within one uptime of the peer is dropped; another uptime
+    /// starts anew.
+    void take(state::node_id peer, state::incarnation incarnation_number, std::uint64_t sequence,
+              bool is_complete, std::span<member_load const> rows, state::time_point now);
     /// \brief Drops peers that were not heard for `silence`: an entry VM that died is silent, and
     /// its calls end at the upstreams with its connections.
     void forget_silent(state::time_point now, state::duration silence);
@@ -68,9 +68,9 @@
 private:
     struct peer_rows
     {
-        state::incarnation uptime;
+        state::incarnation incarnation_number;
         std::uint64_t sequence = 0;
-        state::time_point heard{};
+        state::time_point last_contact{};
         std::unordered_map<state::member_key, member_load> rows;
     };
 
--- a/include/plumdale/coordination/load_news.hpp
+++ b/include/plumdale/coordination/load_update_queue.hpp
@@ -21,38 +21,38 @@
 /// Example:
 ///
 /// \code
-/// load_news news{load_news::full_size_rate};
+/// load_update_queue news{load_update_queue::default_bytes_per_second};
 /// news.changed(member);
 /// for (state::member_key const member : news.due(now, peers)) { ... }
 /// \endcode
-class load_news
+class load_update_queue
 {
 public:
     /// \brief `bytes_per_second` is what may be spent, over all peers.
-    explicit load_news(double bytes_per_second) noexcept;
+    explicit load_update_queue(double bytes_per_second) noexcept;
 
     /// \brief Notes that the own load at `member` changed.
-    void changed(state::member_key member);
-    /// \brief Returns the upstreams that are to be told to `listeners` peers now, and takes them
+    void push(state::member_key member);
+    /// \brief Returns the upstreams that are to be told to `peer_count` peers now, and takes them
     /// off; none while the budget doesn't allow it.
-    [[nodiscard]] std::vector<state::member_key> due(state::time_point now, std::size_t listeners);
+    [[nodiscard]] std::vector<state::member_key> due(state::time_point now, std::size_t peer_count);
 
     /// \brief Half of the 22 KB/s that an entry VM may spend on control in a fleet of 380.
-    static constexpr double full_size_rate = 11'000.0;
+    static constexpr double default_bytes_per_second = 11'000.0;
     /// \brief Time for whose bytes a burst may spend at once after a calm time.
     static constexpr double burst_seconds = 2.0;
     /// \brief Size of a datagram without rows and of a row, as packed, headers of UDP and IP
     /// included.
-    static constexpr double datagram_bytes = 97.0;
+    static constexpr double datagram_overhead_bytes = 97.0;
     static constexpr double row_bytes = 20.0;
     /// \brief Rows of one message.
-    static constexpr std::size_t most_rows = 32;
+    static constexpr std::size_t max_rows = 32;
 
 private:
     double bytes_per_second_;
-    double budget_;
-    state::time_point budget_at_{};
-    std::vector<state::member_key> waiting_;
+    double budget_bytes_;
+    state::time_point budget_updated_at_{};
+    std::vector<state::member_key> pending_;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/member_selection.hpp
+++ b/include/plumdale/coordination/member_selection.hpp
@@ -16,7 +16,7 @@
 {
 
 /// \brief Returns whether a member is not known to be dead.
-[[nodiscard]] constexpr bool lives(state::member const& info) noexcept
+[[nodiscard]] constexpr bool is_not_dead(state::member const& info) noexcept
 {
     return info.health != state::member_health::dead;
 }
--- a/include/plumdale/coordination/membership.hpp
+++ b/include/plumdale/coordination/membership.hpp
@@ -42,16 +42,16 @@
     /// \brief The process did not run for a while: nobody is blamed for not having been heard.
     void resume_after_pause(state::time_point now);
     /// \brief Names endpoints at which entry VMs may be; they are members only once heard from.
-    void suggest(std::span<state::endpoint const> candidates);
+    void set_candidates(std::span<state::endpoint const> candidates);
     /// \brief Announces that this entry VM drains.
     void leave(state::time_point now);
-    /// \brief Has something to tell soon: the next `advance` sends `news` to a few members.
-    void spread_soon() noexcept
+    /// \brief Has something to tell soon: the next `advance` sends `update` to a few members.
+    void request_gossip() noexcept
     {
-        spread_ = true;
+        gossip_due_ = true;
     }
     /// \brief Pings a member out of turn, for the state that its answer carries.
-    void ask(state::member const& member, control_actions& actions);
+    void poll(state::member const& member, control_actions& actions);
 
     [[nodiscard]] state::time_point next_deadline() const noexcept;
     [[nodiscard]] state::member const& self() const noexcept
@@ -93,41 +93,41 @@
     struct relayed_probe
     {
         std::uint64_t sequence = 0;
-        state::endpoint asker;
-        std::uint64_t asker_sequence = 0;
+        state::endpoint requester;
+        std::uint64_t requester_sequence = 0;
         state::node_id target;
     };
 
     void begin_round(state::time_point now, control_actions& actions);
     void end_round(state::time_point now);
     void probe_indirectly(control_actions& actions);
-    [[nodiscard]] state::duration spread(state::duration time);
+    [[nodiscard]] state::duration with_jitter(state::duration time);
     void choose_targets();
     void ping(state::endpoint to, state::node_id target, std::uint64_t sequence,
               control_actions& actions);
     [[nodiscard]] std::vector<state::endpoint> unknown_endpoints() const;
     void add_target(state::node_id id);
     void ping_candidates(control_actions& actions);
-    void spread_news(state::time_point now, control_actions& actions);
+    void gossip_updates(state::time_point now, control_actions& actions);
     void expire_suspicions(state::time_point now);
-    void forget_dead(state::time_point now);
+    void remove_dead(state::time_point now);
 
     void answer_ping(state::endpoint from, peer_message const& message, control_actions& actions);
     void relay_ping(state::endpoint from, peer_message const& message, control_actions& actions);
-    void take_ack(state::endpoint from, peer_message const& message, state::time_point now,
-                  control_actions& actions);
+    void receive_ack(state::endpoint from, peer_message const& message, state::time_point now,
+                     control_actions& actions);
     void relay_ack(peer_message const& message, control_actions& actions);
-    void ask_next_page(state::endpoint from, peer_message const& message, state::time_point now,
-                       control_actions& actions);
-    void merge(state::member const& news, state::time_point now);
-    void hear_of_self(state::member const& news, state::time_point now);
+    void request_next_page(state::endpoint from, peer_message const& message, state::time_point now,
+                           control_actions& actions);
+    void merge(state::member const& update, state::time_point now);
+    void merge_self(state::member const& update, state::time_point now);
     void suspect(state::member_entry& entry, state::time_point now);
-    void queue_update(state::node_id about);
-    void complete(peer_message& message);
+    void queue_update(state::node_id subject);
+    void piggyback(peer_message& message);
     void add_page(peer_message& message, state::node_id after);
     void send(state::endpoint to, peer_message message, control_actions& actions);
-    [[nodiscard]] selection_scope everyone() const noexcept;
-    [[nodiscard]] selection_scope own_zone() const noexcept;
+    [[nodiscard]] selection_scope fleet_scope() const noexcept;
+    [[nodiscard]] selection_scope zone_scope() const noexcept;
     [[nodiscard]] bool catching_up(state::time_point now) const noexcept;
 
     node_settings const& settings_;
@@ -136,7 +136,7 @@
     state::member_table table_;
     std::vector<state::endpoint> candidates_;
     std::vector<probe> probes_;
-    std::vector<relayed_probe> relayed_;
+    std::vector<relayed_probe> relayed_probes_;
     update_queue<state::node_id> updates_;
     std::uint64_t next_sequence_ = 1;
     std::uint64_t round_ = 0;
@@ -145,16 +145,16 @@
     state::incarnation replaced_by_;
     state::time_point presumed_dead_at_{};
     bool started_ = false;
-    bool spread_ = false;
-    bool hurried_ = false;
-    bool digests_agree_ = false;
-    std::uint32_t disagreements_ = 0;
+    bool gossip_due_ = false;
+    bool is_fast_round_ = false;
+    bool digests_match_ = false;
+    std::uint32_t digest_mismatches_ = 0;
     std::uint64_t page_sequence_ = 0;
     state::time_point started_at_{};
-    state::time_point round_at_{};
-    state::time_point escalate_at_ = state::never;
-    state::time_point suspicion_ends_ = state::never;
-    state::time_point last_spread_{};
+    state::time_point next_round_at_{};
+    state::time_point indirect_probe_at_ = state::never;
+    state::time_point next_suspicion_expiry_ = state::never;
+    state::time_point last_gossip_{};
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/capped_policy.hpp
+++ b/include/plumdale/coordination/memory_cap_policy.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
+#include <plumdale/coordination/balancing_strategy.hpp>
 #include <plumdale/coordination/dispatch_policy.hpp>
-#include <plumdale/coordination/engine_ranking.hpp>
 
 #include <memory>
 #include <unordered_map>
@@ -15,13 +15,13 @@
 
 /// \brief Refuses a draft when every upstream reports more than `cap` of its memory in use, and a
 /// question at half the way from there to full; else leaves the choice to a ranking.
-class capped_policy final : public dispatch_policy
+class memory_cap_policy final : public dispatch_policy
 {
 public:
     /// \param cap Part of the memory, 0 to 1; above 1 nothing is refused.
-    capped_policy(std::unique_ptr<engine_ranking> ranking, double cap);
+    memory_cap_policy(std::unique_ptr<balancing_strategy> strategy, double cap);
 
-    [[nodiscard]] dispatch_decision decide(dispatch_question const& question,
+    [[nodiscard]] dispatch_decision decide(dispatch_attempt const& attempt,
                                            fleet_snapshot const& fleet,
                                            state::time_point now) override;
     void started(state::stream_handle stream, state::request const& request,
@@ -31,7 +31,7 @@
                state::time_point now) override;
 
 private:
-    std::unique_ptr<engine_ranking> ranking_;
+    std::unique_ptr<balancing_strategy> strategy_;
     double cap_;
     std::vector<upstream_view const*> candidates_;
     std::unordered_map<state::stream_handle, std::shared_ptr<upstream_gauge>> streams_;
--- a/include/plumdale/coordination/node_settings.hpp
+++ b/include/plumdale/coordination/node_settings.hpp
@@ -69,7 +69,7 @@
     state::duration idle_read_interval = std::chrono::minutes{1};
     // -- drain ------------------------------------------------------------
     /// \brief A drain ends after this time at the latest, whatever is still in flight.
-    state::duration drain_bound = std::chrono::minutes{10};
+    state::duration drain_limit = std::chrono::minutes{10};
     /// \brief A drain lasts at least this long, so that the balancer sees the health check turn.
     state::duration drain_settle = std::chrono::milliseconds{500};
     // -- load ------------------------------------------------------------
--- a/include/plumdale/coordination/order_planner.hpp
+++ b/include/plumdale/coordination/order_planner.hpp
@@ -61,24 +61,24 @@
     {
         planned_order planned;
         state::endpoint address;
-        bool fences = true;
+        bool checks_fence = true;
         /// \brief When the order may be given, for the weight store's sake.
         state::time_point not_before{};
         state::time_point next_read{};
         /// \brief A read was sent since the last pause, and its answer is awaited.
-        bool reading = false;
+        bool read_pending = false;
         /// \brief Used with read-back off only.
-        bool ordered = false;
+        bool order_sent = false;
     };
 
-    void ask_or_order(row& each, control_actions& actions) const;
+    void read_or_order(row& each, control_actions& actions) const;
     [[nodiscard]] bool is_responsible_for(state::upstream_id upstream) const;
 
     node_settings const& settings_;
     state::member const& self_;
     state::member_table const& members_;
     state::preset_stamp stamp_;
-    state::time_point since_{};
+    state::time_point in_force_since_{};
     std::map<state::upstream_id, row> rows_;
 };
 
--- a/include/plumdale/coordination/member_health.hpp
+++ b/include/plumdale/coordination/outlier_detector.hpp
@@ -26,11 +26,11 @@
 ///
 /// Health pages are not asked: they can be wrong either way. Example:
 /// \code
-/// member_health health;
+/// outlier_detector health;
 /// health.note(member, call_result::failed, now);
 /// if (health.penalty(member, now) == 0.0) { ... }
 /// \endcode
-class member_health
+class outlier_detector
 {
 public:
     void note(state::member_key member, call_result result, state::time_point now);
@@ -38,24 +38,24 @@
     /// can take it.
     [[nodiscard]] double penalty(state::member_key member, state::time_point now) const;
     /// \brief Returns until when it was set aside last; the epoch if it never was.
-    [[nodiscard]] state::time_point aside_until(state::member_key member) const;
+    [[nodiscard]] state::time_point ejected_until(state::member_key member) const;
     void forget(state::member_key member);
 
     /// \brief Share of the newest result in the moving average: four failures in a row pass the
     /// limit below from zero, one in seven (usual of the plain services met) does not.
-    static constexpr double newest_share = 0.2;
+    static constexpr double smoothing_factor = 0.2;
     /// \brief Failure rate above which an upstream is set aside.
-    static constexpr double failure_limit = 0.5;
+    static constexpr double failure_rate_limit = 0.5;
     /// \brief Upstreams that can't be reached are tried again after this, doubling.
-    static constexpr state::duration first_pause = std::chrono::milliseconds{500};
-    static constexpr state::duration longest_pause = std::chrono::seconds{4};
+    static constexpr state::duration initial_ejection_time = std::chrono::milliseconds{500};
+    static constexpr state::duration max_ejection_time = std::chrono::seconds{4};
 
 private:
     struct record
     {
-        double failures = 0.0;
-        state::duration pause = first_pause;
-        state::time_point aside_until{};
+        double failure_rate = 0.0;
+        state::duration ejection_time = initial_ejection_time;
+        state::time_point ejected_until{};
     };
 
     std::unordered_map<state::member_key, record> records_;
--- a/include/plumdale/coordination/overflow_limit.hpp
+++ b/include/plumdale/coordination/overflow_limit.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <plumdale/coordination/load_book.hpp>
+#include <plumdale/coordination/load_forecaster.hpp>
 #include <plumdale/state/preset.hpp>
 #include <plumdale/state/request.hpp>
 
@@ -13,7 +13,7 @@
 {
 
 /// \brief What stands against one more stream on an engine.
-enum class room : std::uint8_t
+enum class capacity_status : std::uint8_t
 {
     free,
     batch_full,
@@ -36,7 +36,7 @@
 {
 public:
     /// \brief Takes over a preset's bounds; what was learnt is kept.
-    void use(state::preset const& preset) noexcept;
+    void configure(state::preset const& preset) noexcept;
     /// \brief Learns from `preemptions` and `answers` that all of `engines` had since the last
     /// call. \param binding Whether the limit kept a request from an engine meanwhile.
     void learn(double preemptions, double answers, double engines, bool binding) noexcept;
@@ -44,11 +44,12 @@
     /// \brief Returns whether a stream of this forecast has room on an engine.
     /// \param share 1, or less for a customer that is over its fair share: the part of the limit
     /// that it may fill. Its questions get none of the batch places kept for questions then.
-    [[nodiscard]] room check(engine_forecast const& engine, load_forecast const& wanted,
-                             state::work_kind kind, double share) const noexcept;
+    [[nodiscard]] capacity_status check(engine_forecast const& engine,
+                                        load_forecast const& candidate, state::work_kind kind,
+                                        double share) const noexcept;
     /// \brief Returns the fullest projection, mean and deviations, as a part of the memory.
     [[nodiscard]] double fill(engine_forecast const& engine,
-                              load_forecast const& wanted) const noexcept;
+                              load_forecast const& candidate) const noexcept;
 
     /// \brief Returns the learnt factor on the memory limit.
     [[nodiscard]] double factor() const noexcept;
@@ -59,7 +60,7 @@
     /// \brief Returns the part of the memory in use now or at the first horizon point. A question
     /// is over before drafts that grow could crowd it, so nothing further ahead counts for it.
     [[nodiscard]] static double near_fill(engine_forecast const& engine,
-                                          load_forecast const& wanted) noexcept;
+                                          load_forecast const& candidate) noexcept;
 
     double factor_ = 1.0;
     double answers_ = 0.0;
--- a/include/plumdale/coordination/held_history.hpp
+++ b/include/plumdale/coordination/own_load_history.hpp
@@ -13,7 +13,7 @@
 {
 
 /// \brief Own tokens and streams on one upstream at one moment.
-struct held_sample
+struct own_load_sample
 {
     std::uint32_t tokens = 0;
     std::uint32_t streams = 0;
@@ -22,36 +22,36 @@
 /// \brief Remembers about four seconds of own load, to compare with a report that is that late.
 ///
 /// Any shard may write and read; each slot is one atomic word.
-class held_history
+class own_load_history
 {
 public:
     /// \brief Time that one slot covers.
-    static constexpr state::duration step = std::chrono::milliseconds{125};
+    static constexpr state::duration slot_duration = std::chrono::milliseconds{125};
     static constexpr std::size_t slots = 32;
 
     /// \brief Notes what is held from now on.
-    void note(state::time_point now, held_sample held) noexcept
+    void note(state::time_point now, own_load_sample held) noexcept
     {
-        std::uint64_t const turn = turn_of(now);
-        words_[turn % slots].store(pack(turn, held), std::memory_order_relaxed);
+        std::uint64_t const slot_number = slot_number_of(now);
+        words_[slot_number % slots].store(pack(slot_number, held), std::memory_order_relaxed);
     }
 
     /// \brief Returns what was held at `then`; nothing when no change up to then is remembered, and
     /// `current` when `then` itself is longer ago than the memory reaches.
-    [[nodiscard]] held_sample at(state::time_point then, state::time_point now,
-                                 held_sample current) const noexcept
+    [[nodiscard]] own_load_sample at(state::time_point then, state::time_point now,
+                                     own_load_sample current) const noexcept
     {
-        std::uint64_t const newest = turn_of(now);
-        std::uint64_t turn = turn_of(then);
-        if (newest - turn >= slots)
+        std::uint64_t const newest = slot_number_of(now);
+        std::uint64_t slot_number = slot_number_of(then);
+        if (newest - slot_number >= slots)
         {
             return current;
         }
         std::uint64_t const oldest = newest - slots + 1;
-        for (; turn >= oldest; --turn)
+        for (; slot_number >= oldest; --slot_number)
         {
-            std::uint64_t const word = words_[turn % slots].load(std::memory_order_relaxed);
-            if (word >> stamp_shift == (turn & stamp_mask))
+            std::uint64_t const word = words_[slot_number % slots].load(std::memory_order_relaxed);
+            if (word >> stamp_shift == (slot_number & stamp_mask))
             {
                 return unpack(word);
             }
@@ -64,16 +64,16 @@
     static constexpr unsigned streams_shift = 32;
     static constexpr std::uint64_t stamp_mask = 0xffff;
 
-    static std::uint64_t turn_of(state::time_point at) noexcept
+    static std::uint64_t slot_number_of(state::time_point at) noexcept
     {
-        return static_cast<std::uint64_t>(at.time_since_epoch() / step) + slots;
+        return static_cast<std::uint64_t>(at.time_since_epoch() / slot_duration) + slots;
     }
-    static std::uint64_t pack(std::uint64_t turn, held_sample held) noexcept
+    static std::uint64_t pack(std::uint64_t slot_number, own_load_sample held) noexcept
     {
         std::uint64_t const streams = held.streams & stamp_mask;
-        return (turn & stamp_mask) << stamp_shift | streams << streams_shift | held.tokens;
+        return (slot_number & stamp_mask) << stamp_shift | streams << streams_shift | held.tokens;
     }
-    static held_sample unpack(std::uint64_t word) noexcept
+    static own_load_sample unpack(std::uint64_t word) noexcept
     {
         return {static_cast<std::uint32_t>(word),
                 static_cast<std::uint32_t>(word >> streams_shift & stamp_mask)};
--- a/include/plumdale/coordination/peer_message.hpp
+++ b/include/plumdale/coordination/peer_message.hpp
@@ -21,14 +21,14 @@
     ping,         ///< Answer with `ack` and the same sequence.
     ack,          ///< The member named in `target` lives; answers `ping` or `ping_request`.
     ping_request, ///< Ping `target` for the sender and pass its `ack` on.
-    news          ///< Read what is piggybacked; no answer.
+    update        ///< Read what is piggybacked; no answer.
 };
 
 /// \brief A mark that an upstream is leaving; holds for this uptime and all before it.
 struct leaving_mark
 {
     state::upstream_id upstream;
-    state::incarnation uptime;
+    state::incarnation incarnation_number;
 
     friend constexpr auto operator<=>(leaving_mark const&, leaving_mark const&) noexcept = default;
 };
@@ -73,7 +73,7 @@
     static constexpr std::size_t max_content = 8;
     static constexpr std::size_t max_loads = 4;
 
-    peer_message_kind kind = peer_message_kind::news;
+    peer_message_kind kind = peer_message_kind::update;
     /// \brief The sender as it knows itself.
     state::member sender;
     std::uint64_t sequence = 0;
--- a/include/plumdale/coordination/prefix_hints.hpp
+++ b/include/plumdale/coordination/prefix_hints.hpp
@@ -40,8 +40,8 @@
         state::upstream_id engine;
     };
 
-    static constexpr std::size_t entries = 4096;
-    std::array<entry, entries> table_{};
+    static constexpr std::size_t entry_count = 4096;
+    std::array<entry, entry_count> table_{};
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/preset_agreement.hpp
+++ b/include/plumdale/coordination/preset_agreement.hpp
@@ -34,7 +34,7 @@
     void handle(customers_published const& event, state::time_point now);
     void handle(operators_published const& event, state::time_point now);
     void handle(configuration_read const& event, state::time_point now);
-    void handle(platform_failed const& event, state::time_point now);
+    void handle(configuration_read_failed const& event, state::time_point now);
 
     // -- peers and operators --
     /// \brief `marks_agree` says whether the sender knows the same leaving upstreams.
@@ -48,7 +48,7 @@
     /// \brief What was known is in doubt until peers or the service were heard again.
     void resume_after_pause(state::time_point now);
     /// \brief Adds stamp and names of values to a message. `reply_to` is what it answers, or null.
-    void complete(peer_message& message, peer_message const* reply_to);
+    void piggyback(peer_message& message, peer_message const* reply_to);
 
     [[nodiscard]] state::time_point next_deadline() const noexcept;
     /// \brief Returns the newest switch known.
@@ -65,7 +65,7 @@
     [[nodiscard]] bool ready() const noexcept;
     /// \brief Returns whether what is in force would outlive this VM: published, or an operator's
     /// switch that enough other VMs hold.
-    [[nodiscard]] bool outlives_this_vm() const noexcept;
+    [[nodiscard]] bool in_force_is_durable() const noexcept;
     [[nodiscard]] content_store const& content() const noexcept
     {
         return content_;
@@ -80,29 +80,29 @@
         return version_;
     }
     /// \brief Returns whether there is news to spread, and forgets it.
-    [[nodiscard]] bool take_news() noexcept;
+    [[nodiscard]] bool take_update_pending() noexcept;
     /// \brief Returns members to ask for their stamp while an operator waits: some of each zone
     /// that has not enough holders.
-    [[nodiscard]] std::vector<state::member> members_to_ask(state::time_point now);
+    [[nodiscard]] std::vector<state::member> members_to_poll(state::time_point now);
 
 private:
     struct pending_switch
     {
         state::exchange_handle exchange;
         state::preset_stamp stamp;
-        state::time_point since{};
+        state::time_point received_at{};
         std::set<state::node_id> holders;
     };
 
-    void take_stamp(state::preset_stamp stamp);
+    void merge_stamp(state::preset_stamp stamp);
     void put(content_item item);
-    void put_in_force();
+    void apply_stamp();
     void check_caught_up(state::time_point now);
-    void settle_switches(state::time_point now, control_actions& actions);
-    [[nodiscard]] bool is_held(pending_switch const& pending) const;
+    void resolve_switches(state::time_point now, control_actions& actions);
+    [[nodiscard]] bool has_enough_holders(pending_switch const& pending) const;
     [[nodiscard]] std::set<state::zone_id> zones_of(std::set<state::node_id> const& ids) const;
-    [[nodiscard]] switch_answer describe(pending_switch const& pending,
-                                         switch_outcome outcome) const;
+    [[nodiscard]] switch_answer make_answer(pending_switch const& pending,
+                                            switch_outcome outcome) const;
     [[nodiscard]] bool expects_peers() const noexcept;
 
     node_settings const& settings_;
@@ -116,18 +116,18 @@
     bool switched_in_outage_ = false;
     /// \brief Peers seen to hold `stamp_`; no more of them than are wanted.
     std::set<state::node_id> stamp_holders_;
-    bool news_ = false;
+    bool update_pending_ = false;
     std::uint64_t version_ = 1;
 
     bool started_ = false;
     bool caught_up_ = false;
-    bool had_memory_ = false;
+    bool was_caught_up_ = false;
     bool service_read_ = false;
-    std::set<state::node_id> peers_heard_;
-    bool peer_agrees_ = false;
+    std::set<state::node_id> caught_up_peers_;
+    bool peer_digests_match_ = false;
     state::time_point catch_up_ends_{};
     std::vector<pending_switch> pending_;
-    state::time_point next_ask_ = state::never;
+    state::time_point next_poll_at_ = state::never;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/progress_timeout.hpp
+++ b/include/plumdale/coordination/progress_timeout.hpp
@@ -9,15 +9,15 @@
 {
 
 /// \brief Mean and deviation of a time, as TCP estimates its round trips.
-class time_estimate
+class duration_estimator
 {
 public:
     /// \brief Takes one measured time.
     void note(state::duration measured) noexcept;
     /// \brief Returns the longest time that is still plausible, within bounds; the longest allowed
     /// until a time was noted.
-    [[nodiscard]] state::duration plausible(state::duration shortest,
-                                            state::duration longest) const noexcept;
+    [[nodiscard]] state::duration upper_bound(state::duration shortest,
+                                              state::duration longest) const noexcept;
 
 private:
     state::duration mean_{};
@@ -26,7 +26,7 @@
 };
 
 /// \brief Bounds of the learnt timeout.
-struct progress_bounds
+struct progress_timeout_bounds
 {
     state::duration first;    ///< Before the first token.
     state::duration shortest; ///< Never below this, however even the stream was.
@@ -44,11 +44,11 @@
     /// \brief Forgets the time of the last token, after a pause that was not the upstream's.
     void restart() noexcept;
     /// \brief Returns the longest silence that is still plausible.
-    [[nodiscard]] state::duration allowed(progress_bounds const& bounds) const noexcept;
+    [[nodiscard]] state::duration timeout(progress_timeout_bounds const& bounds) const noexcept;
 
 private:
     state::time_point last_ = state::never;
-    time_estimate gap_;
+    duration_estimator gap_;
     bool started_ = false;
 };
 
--- a/include/plumdale/coordination/projected_memory_policy.hpp
+++ b/include/plumdale/coordination/projected_memory_policy.hpp
@@ -2,12 +2,12 @@
 
 #include <plumdale/coordination/customer_shares.hpp>
 #include <plumdale/coordination/dispatch_policy.hpp>
-#include <plumdale/coordination/engine_directory.hpp>
 #include <plumdale/coordination/length_estimator.hpp>
-#include <plumdale/coordination/load_book.hpp>
+#include <plumdale/coordination/load_forecaster.hpp>
 #include <plumdale/coordination/overflow_limit.hpp>
 #include <plumdale/coordination/prefix_hints.hpp>
 #include <plumdale/coordination/retry_budget.hpp>
+#include <plumdale/coordination/subset_selector.hpp>
 
 #include <cstdint>
 #include <functional>
@@ -22,7 +22,7 @@
 {
 
 /// \brief Where one shard stands among the deciders.
-struct decider_place
+struct entry_vm_placement
 {
     state::node_id node;
     state::zone_id zone;
@@ -37,7 +37,7 @@
     /// \brief Sent to another zone, since the own one has no upstream that accepts.
     std::uint64_t spilled_no_upstream = 0;
     /// \brief Sent to another zone, since the own one has no room.
-    std::uint64_t spilled_no_room = 0;
+    std::uint64_t spilled_no_capacity = 0;
     std::uint64_t warm_prefix = 0;
     std::uint64_t refused_memory = 0;
     std::uint64_t refused_batch = 0;
@@ -49,14 +49,15 @@
 /// \brief Admits a request while the chance that an engine's memory overflows stays under the
 /// preset's bound, and routes it to the emptier of a few engines.
 ///
-/// Built from `length_estimator`, `load_book`, `overflow_limit`, `customer_shares`, `retry_budget`,
-/// `engine_directory` and `prefix_hints`. Shards of one entry VM share nothing but the gauges.
+/// Built from `length_estimator`, `load_forecaster`, `overflow_limit`, `customer_shares`,
+/// `retry_budget`, `subset_selector` and `prefix_hints`. Shards of one entry VM share nothing but
+/// the gauges.
 class projected_memory_policy final : public dispatch_policy
 {
 public:
-    projected_memory_policy(decider_place place, subset_limits limits, std::uint64_t seed);
+    projected_memory_policy(entry_vm_placement placement, subset_limits limits, std::uint64_t seed);
 
-    [[nodiscard]] dispatch_decision decide(dispatch_question const& question,
+    [[nodiscard]] dispatch_decision decide(dispatch_attempt const& attempt,
                                            fleet_snapshot const& fleet,
                                            state::time_point now) override;
     void started(state::stream_handle stream, state::request const& request,
@@ -74,11 +75,11 @@
 
 private:
     /// \brief What is learnt of one model's engines.
-    struct model_load
+    struct model_state
     {
-        explicit model_load(length_estimator& lengths) : book{lengths} {}
+        explicit model_state(length_estimator& lengths) : book{lengths} {}
 
-        load_book book;
+        load_forecaster book;
         overflow_limit limit;
         std::unordered_map<upstream_gauge const*, std::uint64_t> preemptions;
         std::uint32_t answers = 0;
@@ -89,25 +90,25 @@
     struct stream
     {
         std::shared_ptr<upstream_gauge> gauge;
-        model_load* model = nullptr; ///< Null for a call to a plain service.
-        length_estimator::cell_id cell = 0;
+        model_state* model = nullptr; ///< Null for a call to a plain service.
+        length_estimator::estimate_id cell = 0;
         state::customer_id customer;
         std::uint32_t prompt = 0;
         std::uint32_t max_tokens = 0;
         std::uint32_t tokens = 0;
-        std::uint32_t counted = 0;
+        std::uint32_t counted_tokens = 0;
         bool draft = false;
         double expected = 0.0;
         stream_load load;
     };
 
     /// \brief The best engine found so far, and what stood against the others.
-    struct search
+    struct engine_search
     {
-        dispatch_question const& question;
-        model_load const& model;
-        load_forecast wanted;
-        double share = 1.0;
+        dispatch_attempt const& attempt;
+        model_state const& model;
+        load_forecast demand;
+        double limit_fraction = 1.0;
         state::upstream_id warm{};
         upstream_view const* best = nullptr;
         double best_fill = 0.0;
@@ -115,34 +116,37 @@
         bool batch_full = false;
     };
 
-    void refresh(model_load& model, fleet_snapshot const& fleet, state::model_id id,
+    void refresh(model_state& model, fleet_snapshot const& fleet, state::model_id id,
                  zone_split const& engines, state::time_point now);
-    static double new_preemptions(model_load& model, std::span<upstream_view const* const> engines);
-    [[nodiscard]] dispatch_decision decide_generation(dispatch_question const& question,
+    static double new_preemptions(model_state& model,
+                                  std::span<upstream_view const* const> engines);
+    [[nodiscard]] dispatch_decision decide_generation(dispatch_attempt const& attempt,
                                                       fleet_snapshot const& fleet,
                                                       zone_split const& engines,
                                                       state::time_point now);
-    [[nodiscard]] dispatch_decision decide_call(dispatch_question const& question,
-                                                zone_split const& services, state::duration centre);
-    void look(search& found, std::span<upstream_view const* const> engines, state::time_point now);
-    void consider(search& found, upstream_view const& view, state::time_point now) const;
+    [[nodiscard]] dispatch_decision decide_call(dispatch_attempt const& attempt,
+                                                zone_split const& services,
+                                                state::duration mean_delay);
+    void scan(engine_search& found, std::span<upstream_view const* const> engines,
+              state::time_point now);
+    void evaluate(engine_search& found, upstream_view const& view, state::time_point now) const;
     [[nodiscard]] bool usable(upstream_gauge const& gauge, state::time_point now) const;
-    void count_route(search const& found, zone_split const& engines);
-    [[nodiscard]] dispatch_decision no_room(search const& found, state::preset const& preset,
-                                            state::time_point now);
-    [[nodiscard]] dispatch_decision refuse(state::error_kind kind, state::duration centre);
-    [[nodiscard]] double spread();
-    void update(stream& each, state::time_point now);
-
-    decider_place place_;
+    void count_route(engine_search const& found, zone_split const& engines);
+    [[nodiscard]] dispatch_decision
+    wait_or_refuse(engine_search const& found, state::preset const& preset, state::time_point now);
+    [[nodiscard]] dispatch_decision refuse(state::error_kind kind, state::duration mean_delay);
+    [[nodiscard]] double jitter_factor();
+    void update_forecast(stream& each, state::time_point now);
+
+    entry_vm_placement placement_;
     std::minstd_rand random_;
     length_estimator lengths_;
     customer_shares shares_;
     retry_budget retries_;
-    engine_directory directory_;
+    subset_selector directory_;
     prefix_hints hints_;
     dispatch_counts counts_;
-    std::unordered_map<state::model_id, model_load> models_;
+    std::unordered_map<state::model_id, model_state> models_;
     std::unordered_map<state::stream_handle, stream> streams_;
     std::uint32_t max_batch_ = 48;
     std::uint32_t entry_vms_ = 1;
@@ -157,6 +161,6 @@
 
 /// \brief Returns a factory of policies for the shards of one entry VM, for `entry_node`.
 [[nodiscard]] std::function<std::unique_ptr<dispatch_policy>(std::uint32_t)>
-projected_memory_factory(decider_place place, std::uint64_t seed);
+projected_memory_factory(entry_vm_placement placement, std::uint64_t seed);
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/recent_digests.hpp
+++ b/include/plumdale/coordination/recent_digests.hpp
@@ -20,22 +20,22 @@
     {
         digests_[next_] = digest;
         next_ = (next_ + 1) % digests_.size();
-        held_ = std::min(held_ + 1, digests_.size());
+        size_ = std::min(size_ + 1, digests_.size());
     }
 
     [[nodiscard]] constexpr bool contains(std::uint64_t digest) const noexcept
     {
-        auto const end = digests_.begin() + static_cast<std::ptrdiff_t>(held_);
+        auto const end = digests_.begin() + static_cast<std::ptrdiff_t>(size_);
         return std::find(digests_.begin(), end, digest) != end;
     }
 
 private:
     /// \brief Some seconds of a release in which ten upstreams a second change.
-    static constexpr std::size_t kept = 64;
+    static constexpr std::size_t capacity = 64;
 
-    std::array<std::uint64_t, kept> digests_{};
+    std::array<std::uint64_t, capacity> digests_{};
     std::size_t next_ = 0;
-    std::size_t held_ = 0;
+    std::size_t size_ = 0;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/request_events.hpp
+++ b/include/plumdale/coordination/request_events.hpp
@@ -26,7 +26,7 @@
 };
 
 /// \brief The caller's connection ended.
-struct caller_gone
+struct caller_disconnected
 {
     state::caller_handle caller;
 };
@@ -83,7 +83,7 @@
 struct upstream_failed
 {
     state::stream_handle stream;
-    upstream_failure why = upstream_failure::broken;
+    upstream_failure cause = upstream_failure::broken;
 };
 
 /// \brief The owner's answer to a relayed request: its generation and upstream, before any token.
@@ -135,7 +135,7 @@
 /// \brief The process did not run for a while (its clock jumped); what it knew may be old.
 struct process_paused
 {
-    state::duration gap{};
+    state::duration length{};
 };
 
 /// \brief The time that `next_deadline()` named has come.
@@ -144,8 +144,9 @@
 };
 
 using request_event =
-    std::variant<request_received, caller_gone, caller_blocked, caller_ready, upstream_started,
-                 upstream_token, upstream_finished, upstream_failed, relay_head, relay_token,
-                 relay_finished, relay_refused, relay_failed, process_paused, deadline_reached>;
+    std::variant<request_received, caller_disconnected, caller_blocked, caller_ready,
+                 upstream_started, upstream_token, upstream_finished, upstream_failed, relay_head,
+                 relay_token, relay_finished, relay_refused, relay_failed, process_paused,
+                 deadline_reached>;
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/request_shard.hpp
+++ b/include/plumdale/coordination/request_shard.hpp
@@ -3,7 +3,7 @@
 #include <plumdale/coordination/delivery_counts.hpp>
 #include <plumdale/coordination/dispatch_policy.hpp>
 #include <plumdale/coordination/fleet_snapshot.hpp>
-#include <plumdale/coordination/identity.hpp>
+#include <plumdale/coordination/identity_signer.hpp>
 #include <plumdale/coordination/node_settings.hpp>
 #include <plumdale/coordination/published.hpp>
 #include <plumdale/coordination/request_actions.hpp>
--- a/include/plumdale/coordination/retry_budget.hpp
+++ b/include/plumdale/coordination/retry_budget.hpp
@@ -28,10 +28,10 @@
 
 private:
     /// \brief Hundredths of a retry, so that earning and spending is exact.
-    static constexpr std::uint32_t one = 100;
-    static constexpr std::uint32_t most = 20 * one;
-    static constexpr std::uint32_t at_first = 5 * one;
-    std::uint32_t balance_ = at_first;
+    static constexpr std::uint32_t one_retry = 100;
+    static constexpr std::uint32_t max_balance = 20 * one_retry;
+    static constexpr std::uint32_t initial_balance = 5 * one_retry;
+    std::uint32_t balance_ = initial_balance;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/route_outcomes.hpp
+++ b/include/plumdale/coordination/route_outcomes.hpp
@@ -17,11 +17,11 @@
 enum class call_outcome : std::uint8_t
 {
     on_time,
-    late,    ///< Whole, but after the objective, or with too long a pause.
-    refused, ///< Stated as not run.
-    failed,  ///< Failed at the upstream, broken off, or it may have run.
-    left,    ///< The caller left; not counted against the objective.
-    count    ///< Number of outcomes; no outcome itself.
+    late,                ///< Whole, but after the objective, or with too long a pause.
+    refused,             ///< Stated as not run.
+    failed,              ///< Failed at the upstream, broken off, or it may have run.
+    caller_disconnected, ///< The caller left; not counted against the objective.
+    count                ///< Number of outcomes; no outcome itself.
 };
 
 /// \brief Names of the outcomes on operators' pages, in their order.
@@ -45,7 +45,7 @@
 
     /// \brief Routes that are counted; a configuration has some hundred, and names of routes that
     /// are gone are dropped when there are more.
-    static constexpr std::size_t most_routes = 2'000;
+    static constexpr std::size_t max_routes = 2'000;
 
 private:
     std::map<std::string, outcome_counts, std::less<>> rows_;
@@ -56,6 +56,6 @@
 
 /// \brief Returns how many times its error budget a route has used, of calls on time: 1 where just
 /// `objective` of them were; 0 without calls.
-[[nodiscard]] double budget_used(outcome_counts const& counts, double objective) noexcept;
+[[nodiscard]] double error_budget_used(outcome_counts const& counts, double objective) noexcept;
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/safeguards.hpp
+++ b/include/plumdale/coordination/safeguards.hpp
@@ -59,14 +59,14 @@
 public:
     [[nodiscard]] constexpr bool has(safeguard which) const noexcept
     {
-        return (off_ & bit(which)) == 0;
+        return (disabled_ & bit(which)) == 0;
     }
 
     /// \brief Returns this set with one safeguard turned off.
     [[nodiscard]] constexpr safeguard_set without(safeguard which) const noexcept
     {
         safeguard_set result{*this};
-        result.off_ |= bit(which);
+        result.disabled_ |= bit(which);
         return result;
     }
 
@@ -78,13 +78,13 @@
         return std::uint64_t{1} << static_cast<unsigned>(which);
     }
 
-    std::uint64_t off_ = 0;
+    std::uint64_t disabled_ = 0;
 };
 
 /// \brief Returns the name of a safeguard as the fault runner prints it.
 [[nodiscard]] std::string_view safeguard_name(safeguard which) noexcept;
 
 /// \brief Returns the safeguard of this name, or `safeguard::count`.
-[[nodiscard]] safeguard safeguard_named(std::string_view name) noexcept;
+[[nodiscard]] safeguard safeguard_from_name(std::string_view name) noexcept;
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/service_directory.hpp
+++ b/include/plumdale/coordination/service_directory.hpp
@@ -39,8 +39,8 @@
     state::time_point listed_at{};
     /// \brief When its leaving or removal was learnt here; `never` while it stays.
     state::time_point leaving_since = state::never;
-    /// \brief Its removal counts from here on; see `service_directory::platform_returned`.
-    state::time_point removed_from = state::never;
+    /// \brief Its removal counts from here on; see `service_directory::platform_recovered`.
+    state::time_point removal_effective_at = state::never;
     /// \brief Seen at the address of another upstream, or refused the connection for good.
     bool replaced = false;
     /// \brief A later start under the same name is known.
@@ -49,11 +49,11 @@
     state::time_point cold_until{};
     /// \brief When it was listed, for the first time or again; none for those that were there
     /// before this VM knew of any.
-    std::optional<state::time_point> fresh_since;
+    std::optional<state::time_point> newly_listed_at;
 };
 
 /// \brief Digests of the parts of a directory: parts that are equal need not be exchanged.
-using part_digests = std::array<std::uint64_t, 64>;
+using bucket_digests = std::array<std::uint64_t, 64>;
 
 /// \brief Joins news of upstreams in any order to the same result.
 ///
@@ -68,14 +68,14 @@
 {
 public:
     /// \brief Joins one piece of news; `member.listed` says whether it is listed or removed.
-    directory_change join(state::service_member const& member, state::time_point now);
+    directory_change merge(state::service_member const& member, state::time_point now);
     /// \brief Another upstream answered at this one's address: it is gone.
     void replaced(state::member_key key, state::time_point now);
     /// \brief The platform is reachable again after an outage. Upstreams whose entries lapsed
     /// meanwhile have until `lapse_grace` to come back before their removal counts.
-    void platform_returned(state::time_point now) noexcept;
+    void platform_recovered(state::time_point now) noexcept;
     /// \brief All that were listed before this VM started are known: others that come are fresh.
-    void completed() noexcept
+    void mark_complete() noexcept
     {
         is_complete_ = true;
     }
@@ -123,20 +123,21 @@
     }
 
     /// \brief Returns the digest of each part, by the names' hashes.
-    [[nodiscard]] part_digests const& parts() const noexcept
+    [[nodiscard]] bucket_digests const& digests_by_bucket() const noexcept
     {
-        return parts_;
+        return digests_by_bucket_;
     }
     /// \brief Returns the rows of the parts whose digests are not those in `others`, those that
     /// were removed lately among them.
-    [[nodiscard]] std::vector<state::service_member> rows_beside(part_digests const& others) const;
+    [[nodiscard]] std::vector<state::service_member>
+    rows_differing_from(bucket_digests const& others) const;
 
     /// \brief Entries that lapsed in an outage are back within two seconds of its end.
     static constexpr state::duration lapse_grace = std::chrono::milliseconds{2'200};
     /// \brief No upstream is cold for longer: a damaged entry would keep work from it for good.
-    static constexpr state::duration longest_cold = std::chrono::seconds{60};
+    static constexpr state::duration max_cold_time = std::chrono::seconds{60};
     /// \brief Removed rows are kept for stragglers' news; far above any datagram's delay.
-    static constexpr state::duration remember_removed = std::chrono::seconds{120};
+    static constexpr state::duration removed_retention = std::chrono::seconds{120};
 
 private:
     /// \brief What is known of a name, whatever its starts.
@@ -152,7 +153,8 @@
 
     directory_change insert(state::service_member const& member, name_record const& name,
                             state::time_point now);
-    [[nodiscard]] bool stays(directory_entry const& entry, state::time_point now) const noexcept;
+    [[nodiscard]] bool is_available(directory_entry const& entry,
+                                    state::time_point now) const noexcept;
     directory_change update(directory_entry& entry, state::service_member const& member,
                             state::time_point now);
     static void note_cold(directory_entry& entry, state::service_member const& member,
@@ -166,13 +168,13 @@
     /// \brief By the key of the name alone.
     std::unordered_map<state::member_key, name_record> names_;
     /// \brief Upstreams here tell their starts, so an entry without one is not an upstream's own.
-    bool starts_told_ = false;
+    bool starts_reported_ = false;
     std::unordered_map<std::string, std::vector<state::member_key>> services_;
     state::time_point lapse_until_{};
     evacuation_orders evacuations_;
     std::uint64_t digest_ = 0;
     bool is_complete_ = false;
-    part_digests parts_{};
+    bucket_digests digests_by_bucket_{};
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/engine_directory.hpp
+++ b/include/plumdale/coordination/subset_selector.hpp
@@ -27,11 +27,11 @@
 struct subset_limits
 {
     /// \brief Fewest and most of the own zone, and most of all other zones.
-    std::size_t fewest = 8;
-    std::size_t most = 256;
+    std::size_t min_own_zone = 8;
+    std::size_t max_own_zone = 256;
     std::size_t other_zones = 12;
     /// \brief Entry VMs of its zone that an upstream is shared by, between these bounds.
-    std::size_t deciders = 8;
+    std::size_t entry_vms_per_upstream = 8;
 };
 
 /// \brief Picks the upstreams of one model that this entry VM routes to.
@@ -40,24 +40,24 @@
 /// has about as many entry VMs, few enough that each knows a good part of its load at first hand,
 /// and a change of the list moves few of them. Upstreams of other
 /// zones are a smaller subset, for spills. The choice is kept until the snapshot's version changes.
-class engine_directory
+class subset_selector
 {
 public:
     /// \param self This entry VM, for the hashing.
-    engine_directory(state::node_id self, state::zone_id zone, subset_limits limits);
+    subset_selector(state::node_id self, state::zone_id zone, subset_limits limits);
 
     /// \brief Returns the chosen upstreams of a model; valid as long as the snapshot is.
     [[nodiscard]] zone_split select(fleet_snapshot const& fleet, state::model_id model);
 
 private:
-    struct choice
+    struct cached_subset
     {
         std::uint64_t version = 0;
         std::vector<upstream_view const*> views;
         std::size_t own_count = 0;
     };
 
-    void rebuild(choice& each, fleet_snapshot const& fleet, state::model_id model) const;
+    void rebuild(cached_subset& each, fleet_snapshot const& fleet, state::model_id model) const;
     [[nodiscard]] std::size_t own_limit(fleet_snapshot const& fleet, std::size_t upstreams) const;
     [[nodiscard]] std::size_t keep_subset(std::vector<upstream_view const*>& views,
                                           std::size_t from, std::size_t limit) const;
@@ -65,7 +65,7 @@
     state::node_id self_;
     state::zone_id zone_;
     subset_limits limits_;
-    std::unordered_map<state::model_id, choice> choices_;
+    std::unordered_map<state::model_id, cached_subset> cached_subsets_;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/upstream_gauge.hpp
+++ b/include/plumdale/coordination/upstream_gauge.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <plumdale/coordination/held_history.hpp>
+#include <plumdale/coordination/own_load_history.hpp>
 #include <plumdale/state/time.hpp>
 
 #include <array>
@@ -43,12 +43,12 @@
     std::array<std::atomic<std::int64_t>, horizon_points> projected{};
     std::array<std::atomic<std::int64_t>, horizon_points> variance{};
     /// \brief Own tokens and streams of the last seconds.
-    held_history history;
+    own_load_history history;
     /// \brief Own dispatches so far, and how many of them the latest report can have seen.
     std::atomic<std::uint64_t> dispatched{0};
     std::atomic<std::uint64_t> dispatched_at_report{0};
     /// \brief Failures in a row; cleared by the first token of any stream.
-    std::atomic<std::uint32_t> failures{0};
+    std::atomic<std::uint32_t> consecutive_failures{0};
     /// \brief When the upstream was first seen in this uptime, for slow start.
     std::atomic<std::int64_t> first_seen{0};
 };
--- a/include/plumdale/coordination/upstream_limits.hpp
+++ b/include/plumdale/coordination/upstream_limits.hpp
@@ -21,9 +21,9 @@
 enum class limit_change : std::uint8_t
 {
     none,
-    begins,
-    other_value,
-    ends
+    added,
+    updated,
+    removed
 };
 
 /// \brief Keeps a fleet under what its upstreams say that they take.
@@ -47,39 +47,39 @@
     limit_change answered(state::member_key member, std::optional<double> per_second,
                           state::time_point now);
     /// \brief Takes what a peer tells; of two statements the newer counts.
-    limit_change hear(state::stated_limit const& told, state::time_point now);
+    limit_change apply_update(state::stated_limit const& reported, state::time_point now);
     /// \brief Returns whether this VM may send a request to an upstream now.
     [[nodiscard]] bool may_send(state::member_key member, state::time_point now) const;
     /// \brief Counts a request that left.
     void note_sent(state::member_key member, state::time_point now);
-    /// \brief Counts anew who shares, and drops statements that nobody has repeated for `lapse`.
+    /// \brief Counts anew who shares, and drops statements that nobody has repeated for `lifetime`.
     void sweep(state::time_point now);
 
     /// \brief Returns the limit in force for an upstream; none if there is none.
     [[nodiscard]] std::optional<double> limit_of(state::member_key member) const;
     /// \brief Returns how many VMs send to an upstream with this limit.
-    [[nodiscard]] static std::size_t senders(double per_second, std::size_t vms) noexcept;
+    [[nodiscard]] static std::size_t sender_count(double per_second, std::size_t vms) noexcept;
     /// \brief Returns what is to be told to all peers, once.
-    [[nodiscard]] std::vector<state::stated_limit> untold(state::time_point now);
+    [[nodiscard]] std::vector<state::stated_limit> unreported(state::time_point now);
     /// \brief Returns what this VM read itself lately, for peers that missed it.
-    [[nodiscard]] std::vector<state::stated_limit> confirmed(std::size_t most,
+    [[nodiscard]] std::vector<state::stated_limit> confirmed(std::size_t max_count,
                                                              state::time_point now) const;
 
     /// \brief An upstream that states nothing in an answer may have done so in another one at the
     /// same moment: the limit ends once none was stated for so long.
-    static constexpr state::duration ends_after = std::chrono::seconds{1};
+    static constexpr state::duration removal_delay = std::chrono::seconds{1};
     /// \brief For so long after an answer this VM repeats its statement to peers.
-    static constexpr state::duration confirmed_for = std::chrono::seconds{10};
+    static constexpr state::duration rebroadcast_time = std::chrono::seconds{10};
     /// \brief A statement that nobody repeats: its end was missed, or no VM that sends has calls.
-    static constexpr state::duration lapse = std::chrono::seconds{30};
+    static constexpr state::duration lifetime = std::chrono::seconds{30};
     /// \brief Another value is told to peers from this part of it on.
-    static constexpr double telling_part = 0.05;
+    static constexpr double report_threshold = 0.05;
     /// \brief Requests a second to an upstream that takes next to nothing: some answer has to tell
     /// when that is over.
-    static constexpr double least_rate = 0.1;
+    static constexpr double min_rate = 0.1;
     /// \brief Requests that were not sent may be sent later, those of so long at most: calls come
     /// unevenly. A VM may always save up one.
-    static constexpr state::duration longest_saved = std::chrono::milliseconds{500};
+    static constexpr state::duration max_burst_time = std::chrono::milliseconds{500};
     /// \brief Most rows, above the upstreams in need of any fleet at one moment.
     static constexpr std::size_t capacity = 4'096;
 
@@ -103,16 +103,16 @@
         std::size_t vms = 1;
     };
 
-    void count_sharing(state::member_key member, row& limit) const;
+    void update_rank(state::member_key member, row& limit) const;
     [[nodiscard]] static double own_rate(row const& limit) noexcept;
     [[nodiscard]] static double allowed_at(row const& limit, state::time_point now) noexcept;
-    limit_change change(state::member_key member, row& limit, std::optional<double> per_second,
-                        state::time_point now);
+    limit_change apply_statement(state::member_key member, row& limit,
+                                 std::optional<double> per_second, state::time_point now);
 
     fleet_view const& fleet_;
     state::node_id self_;
     std::unordered_map<state::member_key, row> rows_;
-    std::vector<state::member_key> untold_;
+    std::vector<state::member_key> unreported_;
 };
 
 } // namespace plumdale::coordination
--- a/include/plumdale/protocol/admin_codec.hpp
+++ b/include/plumdale/protocol/admin_codec.hpp
@@ -23,7 +23,7 @@
 };
 
 /// \brief Returns `ready`, `draining` or `not_ready`.
-[[nodiscard]] std::string_view health_word(coordination::fleet_snapshot const& fleet) noexcept;
+[[nodiscard]] std::string_view readiness_name(coordination::fleet_snapshot const& fleet) noexcept;
 
 /// \brief Returns the answer to `GET /admin/status`.
 [[nodiscard]] std::string status_body(node_status const& node,
@@ -34,17 +34,17 @@
                                       coordination::fleet_snapshot const& fleet);
 
 /// \brief An operator's wish, as sent.
-struct switch_wish
+struct switch_request
 {
     state::preset_id preset;
     std::uint64_t over_revision = 0;
 };
 
 /// \brief Decodes `POST /admin/preset`. Fails with `invalid_request`.
-[[nodiscard]] state::result<switch_wish> decode_switch(std::string_view body);
+[[nodiscard]] state::result<switch_request> decode_switch_request(std::string_view body);
 
 /// \brief Returns the HTTP status of a switch's outcome.
-[[nodiscard]] unsigned status_of(coordination::switch_outcome outcome) noexcept;
+[[nodiscard]] unsigned http_status_of(coordination::switch_outcome outcome) noexcept;
 
 /// \brief Returns the answer to `POST /admin/preset`. The outcome is `accepted` or the name of an
 /// error kind.
--- a/include/plumdale/protocol/caller_codec.hpp
+++ b/include/plumdale/protocol/caller_codec.hpp
@@ -15,7 +15,7 @@
 {
 
 /// \brief What the transport read of one HTTP request. Views hold while the request is alive.
-struct caller_message
+struct http_request_view
 {
     std::string_view method;
     std::string_view target;
@@ -32,7 +32,7 @@
 
 /// \brief Decodes a request. Fails with `invalid_request`, `unauthenticated` (no key) or
 /// `unknown_generation` (an identity that is no identity). `now` turns a deadline into a moment.
-[[nodiscard]] state::result<state::request> decode_request(caller_message const& message,
+[[nodiscard]] state::result<state::request> decode_request(http_request_view const& message,
                                                            state::time_point now);
 
 /// \brief Returns the server-sent event of one token.
@@ -58,8 +58,8 @@
 [[nodiscard]] std::string error_event(error_details const& error);
 
 /// \brief Returns the answer to a caller that does not stream.
-[[nodiscard]] std::string whole_body(state::generation_id const& id, std::string_view text,
-                                     std::uint32_t tokens);
+[[nodiscard]] std::string completion_body(state::generation_id const& id, std::string_view text,
+                                          std::uint32_t tokens);
 
 /// \brief Returns the answer to a reservation.
 [[nodiscard]] std::string reservation_body(state::generation_id const& id);
--- a/include/plumdale/protocol/dialect.hpp
+++ b/include/plumdale/protocol/dialect.hpp
@@ -22,14 +22,14 @@
 {
 
 /// \brief How new an answer of the platform's store has to be.
-enum class store_read : std::uint8_t
+enum class read_consistency : std::uint8_t
 {
     current,
-    may_lag ///< By seconds; costs a tenth and does not count toward the rate limit.
+    allow_stale ///< By seconds; costs a tenth and does not count toward the rate limit.
 };
 
 /// \brief What a caller's head says to the system.
-struct call_terms
+struct call_headers
 {
     /// \brief Identifies this attempt; empty when it is missing.
     std::string id;
@@ -44,7 +44,7 @@
 };
 
 /// \brief Where a generation goes on that began elsewhere.
-struct continuation
+struct resume_point
 {
     /// \brief Upstream that made the copy, or that holds a backup.
     state::endpoint holder;
@@ -54,7 +54,7 @@
 };
 
 /// \brief What the system adds to a call that it passes on.
-struct onward_terms
+struct system_headers
 {
     state::duration time_left{};
     /// \brief Incarnation that is meant; any other refuses the call.
@@ -62,17 +62,17 @@
     /// \brief Empty when the call has no customer.
     std::string customer;
     std::optional<unsigned> priority;
-    std::optional<continuation> resumed;
+    std::optional<resume_point> resumed;
     /// \brief Upstream that keeps a copy of the generation's memory as it grows.
     std::optional<state::endpoint> backup;
 };
 
 /// \brief What an upstream's head says to the system.
-struct answer_terms
+struct answer_headers
 {
     std::string id;
     /// \brief Carries the upstream's signature, without which a success doesn't count.
-    bool sealed = false;
+    bool is_signed = false;
     /// \brief The upstream states that the call did not run.
     bool not_run = false;
     /// \brief Another incarnation has this address now.
@@ -100,7 +100,7 @@
 };
 
 /// \brief An order of evacuation, given or taken back.
-struct zone_order
+struct evacuation_order
 {
     std::string zone;
     state::evacuation_change change;
@@ -114,11 +114,11 @@
     std::vector<state::service_member> members;
     /// \brief Entries that name no upstream to use; the others hold.
     std::vector<unusable_entry> unusable;
-    std::vector<zone_order> orders;
+    std::vector<evacuation_order> orders;
     /// \brief The store's revision when it answered.
     std::uint64_t revision = 0;
     /// \brief The greatest revision of what the page holds.
-    std::uint64_t newest = 0;
+    std::uint64_t newest_revision = 0;
     /// \brief The next page of a list begins behind this key; empty at the end.
     std::string next_page;
 };
@@ -141,7 +141,7 @@
 };
 
 /// \brief A small request of the daemon's own.
-struct own_request
+struct upstream_request
 {
     std::string method = "GET";
     std::string target;
@@ -158,31 +158,32 @@
     virtual ~dialect() = default;
 
     // -- callers ------------------------------------------------------------
-    [[nodiscard]] virtual call_terms read_call(message_head const& head) const = 0;
+    [[nodiscard]] virtual call_headers read_call(message_head const& head) const = 0;
     /// \brief Path at which the platform's balancer asks whether this entry VM is ready.
     [[nodiscard]] virtual std::string_view ready_target() const = 0;
 
     // -- upstreams ------------------------------------------------------------
     /// \brief Returns the head of the call as passed on, whole, with the framing of a body of
     /// `body_bytes`.
-    [[nodiscard]] virtual std::string onward_head(message_head const& head,
-                                                  onward_terms const& terms,
-                                                  std::size_t body_bytes) const = 0;
-    [[nodiscard]] virtual answer_terms read_answer(message_head const& head) const = 0;
-    /// \brief Order to copy the memory of generation `id` to another upstream; `last` stops it.
-    [[nodiscard]] virtual own_request copy_order(std::string_view id, state::endpoint to,
-                                                 bool last) const = 0;
+    [[nodiscard]] virtual std::string forwarded_head(message_head const& head,
+                                                     system_headers const& headers,
+                                                     std::size_t body_bytes) const = 0;
+    [[nodiscard]] virtual answer_headers read_answer(message_head const& head) const = 0;
+    /// \brief Order to copy the memory of generation `id` to another upstream; `is_last` stops it.
+    [[nodiscard]] virtual upstream_request copy_request(std::string_view id, state::endpoint to,
+                                                        bool is_last) const = 0;
     [[nodiscard]] virtual state::result<copy_answer>
     read_copy_answer(std::string_view body) const = 0;
-    [[nodiscard]] virtual own_request copy_release(std::string_view handle) const = 0;
-    [[nodiscard]] virtual own_request report_request() const = 0;
+    [[nodiscard]] virtual upstream_request copy_release_request(std::string_view handle) const = 0;
+    [[nodiscard]] virtual upstream_request report_request() const = 0;
     [[nodiscard]] virtual state::result<member_report> read_report(std::string_view body) const = 0;
 
     // -- the platform's store ------------------------------------------------------------
     /// \brief What the operators wrote: the configuration and orders of evacuation.
-    [[nodiscard]] virtual std::string operators_target(store_read kind,
-                                                       std::string_view page) const = 0;
-    [[nodiscard]] virtual std::string list_target(store_read kind, std::string_view page) const = 0;
+    [[nodiscard]] virtual std::string operator_entries_target(read_consistency consistency,
+                                                              std::string_view page) const = 0;
+    [[nodiscard]] virtual std::string member_list_target(read_consistency consistency,
+                                                         std::string_view page) const = 0;
     /// \brief Reads from the fields of any of the store's answers how often it has come back from
     /// a copy; none where it doesn't tell.
     [[nodiscard]] virtual std::optional<std::uint64_t>
--- a/include/plumdale/protocol/digest.hpp
+++ b/include/plumdale/protocol/digest.hpp
@@ -12,7 +12,7 @@
 {
 
 /// \brief Returns the SHA-256 digest of `text`.
-[[nodiscard]] state::key_digest sha256(std::string_view text);
+[[nodiscard]] state::sha256_digest sha256(std::string_view text);
 
 /// \brief Returns what is the same in all attempts of a request. The path has no query.
 [[nodiscard]] state::request_digest digest_of_request(std::string_view host, std::string_view path,
@@ -20,6 +20,6 @@
                                                       std::string_view body);
 
 /// \brief Parses 64 hexadecimal digits; no value when they are malformed.
-[[nodiscard]] std::optional<state::key_digest> parse_digest(std::string_view hex);
+[[nodiscard]] std::optional<state::sha256_digest> parse_digest(std::string_view hex);
 
 } // namespace plumdale::protocol
--- a/include/plumdale/protocol/engine_codec.hpp
+++ b/include/plumdale/protocol/engine_codec.hpp
@@ -60,7 +60,7 @@
 [[nodiscard]] state::result<state::engine_order> decode_order(std::string_view body);
 
 /// \brief Cuts a byte stream into the data lines of server-sent events; keeps what is unfinished.
-class event_splitter
+class event_data_splitter
 {
 public:
     /// \brief Most bytes of one unfinished line.
--- a/include/plumdale/protocol/fleet_codec.hpp
+++ b/include/plumdale/protocol/fleet_codec.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <plumdale/coordination/configuration_offer.hpp>
-#include <plumdale/coordination/fleet_news.hpp>
+#include <plumdale/coordination/fleet_update.hpp>
 #include <plumdale/coordination/service_directory.hpp>
 #include <plumdale/state/result.hpp>
 
@@ -16,12 +16,13 @@
 {
 
 /// \brief Returns a datagram: a MAC by the fleet key and Cap'n Proto words.
-[[nodiscard]] std::string encode(coordination::fleet_news const& news, std::string_view fleet_key);
+[[nodiscard]] std::string encode(coordination::fleet_update const& update,
+                                 std::string_view fleet_key);
 
 /// \brief Reads a datagram. Anything not made with the fleet key or not well-formed fails with
 /// `invalid_request`.
-[[nodiscard]] state::result<coordination::fleet_news>
-decode_fleet_news(std::span<char const> datagram, std::string_view fleet_key);
+[[nodiscard]] state::result<coordination::fleet_update>
+decode_fleet_update(std::span<char const> datagram, std::string_view fleet_key);
 
 /// \brief Returns an offer as a datagram: a MAC by the fleet key and Cap'n Proto words.
 [[nodiscard]] std::string encode(coordination::configuration_offer const& offer,
@@ -40,9 +41,10 @@
 decode_directory_copy(std::string_view body);
 
 /// \brief Returns the body of a question for what differs of a directory.
-[[nodiscard]] std::string encode(coordination::part_digests const& digests);
+[[nodiscard]] std::string encode(coordination::bucket_digests const& digests);
 
 /// \brief Reads such a body; fails with `invalid_request` if it has another length.
-[[nodiscard]] state::result<coordination::part_digests> decode_part_digests(std::string_view body);
+[[nodiscard]] state::result<coordination::bucket_digests>
+decode_bucket_digests(std::string_view body);
 
 } // namespace plumdale::protocol
--- a/include/plumdale/protocol/forward_settings.hpp
+++ b/include/plumdale/protocol/forward_settings.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <plumdale/coordination/load_news.hpp>
-#include <plumdale/coordination/repeat_allowance.hpp>
+#include <plumdale/coordination/fleet_retry_budget.hpp>
+#include <plumdale/coordination/load_update_queue.hpp>
 #include <plumdale/protocol/settings.hpp>
 #include <plumdale/state/endpoint.hpp>
 #include <plumdale/state/time.hpp>
@@ -34,8 +34,8 @@
     /// \brief Longest pause of a stream that its callers' objective allows an event on its way.
     state::duration event_delay = std::chrono::milliseconds{120};
     /// \brief Bytes a second that go on telling peers of starts and ends of generations.
-    double load_news_bytes_per_second = coordination::load_news::full_size_rate;
-    coordination::allowance_terms repeats;
+    double load_news_bytes_per_second = coordination::load_update_queue::default_bytes_per_second;
+    coordination::fleet_retry_limit repeats;
 };
 
 /// \brief Returns whether a settings file is one of a forwarding entry VM.
--- a/include/plumdale/protocol/fwd.hpp
+++ b/include/plumdale/protocol/fwd.hpp
@@ -8,11 +8,11 @@
 namespace plumdale::protocol
 {
 
-enum class caller_news : std::uint8_t;
-class event_splitter;
-class link_seal;
-struct burn_names;
-struct caller_message;
+enum class caller_event : std::uint8_t;
+class event_data_splitter;
+class link_authenticator;
+struct error_budget_names;
+struct http_request_view;
 struct configuration_changes;
 struct daemon_settings;
 struct engine_done;
@@ -26,6 +26,6 @@
 struct link_hello;
 struct node_status;
 struct settings_error;
-struct switch_wish;
+struct switch_request;
 
 } // namespace plumdale::protocol
--- a/include/plumdale/protocol/generation_text.hpp
+++ b/include/plumdale/protocol/generation_text.hpp
@@ -18,7 +18,7 @@
 [[nodiscard]] std::string to_text(state::generation_id const& id);
 
 /// \brief Parses the text form; no value when it is malformed. The MAC is not checked.
-[[nodiscard]] std::optional<state::generation_id> parse_generation(std::string_view text);
+[[nodiscard]] std::optional<state::generation_id> parse_generation_id(std::string_view text);
 
 /// \brief An event id: `<generation>@<upstream>/<index>`, where `@<upstream>` may be missing.
 struct event_id
--- a/include/plumdale/protocol/http_reader.hpp
+++ b/include/plumdale/protocol/http_reader.hpp
@@ -62,11 +62,11 @@
     http_reader& operator=(http_reader&&) noexcept;
     ~http_reader();
 
-    /// \brief Takes bytes; those behind the message's end stay in `rest()`.
+    /// \brief Takes bytes; those behind the message's end stay in `unconsumed()`.
     read_progress append(std::string_view bytes);
     /// \brief The connection ended in order. Completes a body that ends with it; elsewhere the
     /// message stays as it is.
-    read_progress append_end();
+    read_progress append_eof();
 
     [[nodiscard]] read_progress progress() const noexcept;
     [[nodiscard]] body_framing framing() const noexcept;
@@ -75,7 +75,7 @@
     /// \brief Returns the body bytes that came since the last call.
     [[nodiscard]] std::string take_body();
     /// \brief Returns bytes that were not taken: behind the end, or an unfinished head.
-    [[nodiscard]] std::string_view rest() const noexcept;
+    [[nodiscard]] std::string_view unconsumed() const noexcept;
     /// \brief Returns whether any byte came.
     [[nodiscard]] bool has_begun() const noexcept;
     /// \brief Returns whether the message is too large for its bounds, when malformed.
--- a/include/plumdale/protocol/link_codec.hpp
+++ b/include/plumdale/protocol/link_codec.hpp
@@ -33,9 +33,9 @@
 };
 
 /// \brief What the relaying side tells of its caller.
-enum class caller_news : std::uint8_t
+enum class caller_event : std::uint8_t
 {
-    gone,
+    disconnected,
     blocked,
     ready
 };
@@ -52,7 +52,7 @@
 using link_body =
     std::variant<link_heartbeat, link_hello, state::request, coordination::relay_head,
                  coordination::relay_token, coordination::relay_finished,
-                 coordination::relay_refused, caller_news, state::content_ref, link_content>;
+                 coordination::relay_refused, caller_event, state::content_ref, link_content>;
 
 /// \brief One frame; `exchange` names the relay or content request on its link.
 struct link_frame
--- a/include/plumdale/protocol/message_head.hpp
+++ b/include/plumdale/protocol/message_head.hpp
@@ -33,7 +33,7 @@
 };
 
 /// \brief Returns whether two field names are the same; case does not matter.
-[[nodiscard]] bool same_name(std::string_view a, std::string_view b) noexcept;
+[[nodiscard]] bool equals_ignore_case(std::string_view a, std::string_view b) noexcept;
 
 /// \brief Returns whether a field concerns one connection only: the standard ones and those that
 /// `head`'s own Connection field names. Body framing counts too, as each hop frames anew.
--- a/include/plumdale/protocol/peer_codec.hpp
+++ b/include/plumdale/protocol/peer_codec.hpp
@@ -19,11 +19,11 @@
 [[nodiscard]] std::string encode(coordination::peer_message const& message,
                                  std::string_view fleet_key);
 
-/// \brief Reads a datagram. Anything not made with the fleet key or one of `accepted`, or not
+/// \brief Reads a datagram. Anything not made with the fleet key or one of `accepted_keys`, or not
 /// well-formed, fails with `invalid_request`.
 [[nodiscard]] state::result<coordination::peer_message>
 decode_peer_message(std::span<char const> datagram, std::string_view fleet_key,
-                    std::span<std::string const> accepted = {},
+                    std::span<std::string const> accepted_keys = {},
                     coordination::safeguard_set safeguards = {});
 
 } // namespace plumdale::protocol
--- a/include/plumdale/protocol/raw_event_splitter.hpp
+++ b/include/plumdale/protocol/raw_event_splitter.hpp
@@ -34,7 +34,7 @@
     /// \brief Returns the next whole event, or none.
     [[nodiscard]] std::optional<raw_event> next();
     /// \brief Returns how many bytes of an unfinished event are held.
-    [[nodiscard]] std::size_t held() const noexcept
+    [[nodiscard]] std::size_t buffered_bytes() const noexcept
     {
         return buffer_.size() - begin_;
     }
--- a/include/plumdale/protocol/role_text.hpp
+++ b/include/plumdale/protocol/role_text.hpp
@@ -15,6 +15,6 @@
 [[nodiscard]] std::string_view role_name(state::engine_role role) noexcept;
 
 /// \brief Returns the role of that name; none when there is no such role.
-[[nodiscard]] std::optional<state::engine_role> role_named(std::string_view name) noexcept;
+[[nodiscard]] std::optional<state::engine_role> role_from_name(std::string_view name) noexcept;
 
 } // namespace plumdale::protocol
--- a/include/plumdale/state/customer.hpp
+++ b/include/plumdale/state/customer.hpp
@@ -13,14 +13,14 @@
 {
 
 /// \brief SHA-256 digest of an API key.
-using key_digest = std::array<std::uint8_t, 32>;
+using sha256_digest = std::array<std::uint8_t, 32>;
 
 /// \brief A customer: who it is, how it proves that, and its share.
 struct customer
 {
     customer_id id;
     std::string name;
-    key_digest api_key{};
+    sha256_digest api_key{};
     /// \brief Weight in fair sharing when demand exceeds capacity.
     double weight = 1.0;
     /// \brief Hard limit over the whole fleet, tokens a second; zero means none.
--- a/include/plumdale/state/error_kind.hpp
+++ b/include/plumdale/state/error_kind.hpp
@@ -66,7 +66,7 @@
 [[nodiscard]] error_answer const& answer_for(error_kind kind) noexcept;
 
 /// \brief Returns the row named `name`, or null.
-[[nodiscard]] error_answer const* answer_named(std::string_view name) noexcept;
+[[nodiscard]] error_answer const* find_answer(std::string_view name) noexcept;
 
 /// \brief Returns the whole table, one row a kind, in the order of the kinds.
 [[nodiscard]] std::span<error_answer const> error_table() noexcept;
--- a/include/plumdale/state/evacuation.hpp
+++ b/include/plumdale/state/evacuation.hpp
@@ -33,7 +33,7 @@
 struct evacuation_change
 {
     evacuation order;
-    bool taken_back = false;
+    bool revoked = false;
 };
 
 } // namespace plumdale::state
--- a/include/plumdale/state/generation_id.hpp
+++ b/include/plumdale/state/generation_id.hpp
@@ -18,7 +18,7 @@
 struct generation_id
 {
     node_id owner;
-    incarnation uptime;
+    incarnation incarnation_number;
     /// \brief Counts the owner's generations; `sequence % shard count` is the owning shard.
     std::uint64_t sequence = 0;
     /// \brief First 128 bits of an HMAC-SHA256 over the other fields with the fleet key.
@@ -39,6 +39,7 @@
     std::size_t operator()(plumdale::state::generation_id const& id) const noexcept
     {
         using plumdale::state::mix;
-        return static_cast<std::size_t>(mix(mix(id.owner.value, id.uptime.value), id.sequence));
+        return static_cast<std::size_t>(
+            mix(mix(id.owner.value, id.incarnation_number.value), id.sequence));
     }
 };
--- a/include/plumdale/state/identifier.hpp
+++ b/include/plumdale/state/identifier.hpp
@@ -47,7 +47,7 @@
 /// \brief The transport's name for one waiting operator or content reader.
 using exchange_handle = identifier<struct exchange_tag>;
 /// \brief A digest of customer and idempotency key.
-using key_id = identifier<struct key_tag>;
+using idempotency_key_id = identifier<struct key_tag>;
 /// \brief What a caller asks for, whichever attempt asks: a digest of host, path, customer and
 /// body.
 using request_digest = identifier<struct request_tag>;
@@ -80,7 +80,7 @@
 
 /// \brief Returns the identifier that belongs to a name.
 template <class Identifier>
-[[nodiscard]] constexpr Identifier named(std::string_view name) noexcept
+[[nodiscard]] constexpr Identifier id_from_name(std::string_view name) noexcept
 {
     return Identifier{stable_hash(name)};
 }
--- a/include/plumdale/state/load_report.hpp
+++ b/include/plumdale/state/load_report.hpp
@@ -15,7 +15,7 @@
 struct load_report
 {
     upstream_id upstream;
-    incarnation uptime;
+    incarnation incarnation_number;
     /// \brief Counts the engine's reports; an older one is dropped.
     std::uint64_t sequence = 0;
     /// \brief How old the figures were when they were sent.
--- a/include/plumdale/state/member.hpp
+++ b/include/plumdale/state/member.hpp
@@ -25,7 +25,7 @@
 {
     node_id id;
     zone_id zone;
-    incarnation uptime;
+    incarnation incarnation_number;
     /// \brief Raised by the member itself to refute a suspicion.
     std::uint32_t refutation = 0;
     member_health health = member_health::alive;
--- a/include/plumdale/state/member_table.hpp
+++ b/include/plumdale/state/member_table.hpp
@@ -47,11 +47,11 @@
     /// \brief Most rows; news of further members is dropped.
     static constexpr std::size_t capacity = 4'096;
 
-    merge_result merge(member const& news, time_point now);
-    /// \brief Takes `news` though the table holds newer; for tests of the safeguard only.
-    void overwrite(member const& news, time_point now);
+    merge_result merge(member const& update, time_point now);
+    /// \brief Takes `update` though the table holds newer; for tests of the safeguard only.
+    void overwrite(member const& update, time_point now);
     /// \brief Drops members that are dead since before `time`; returns whether there were any.
-    bool forget_dead(time_point time);
+    bool remove_dead(time_point time);
 
     [[nodiscard]] member_entry* find(node_id id) noexcept;
     [[nodiscard]] member_entry const* find(node_id id) const noexcept;
@@ -73,7 +73,7 @@
     }
 
 private:
-    void replace(member_entry& entry, member const& news, time_point now);
+    void replace(member_entry& entry, member const& update, time_point now);
 
     std::vector<member_entry> entries_;
     std::uint64_t digest_ = 0;
--- a/include/plumdale/state/operator_account.hpp
+++ b/include/plumdale/state/operator_account.hpp
@@ -16,7 +16,7 @@
 {
     operator_id id;
     std::string name;
-    key_digest key{};
+    sha256_digest key{};
 };
 
 } // namespace plumdale::state
--- a/include/plumdale/state/request.hpp
+++ b/include/plumdale/state/request.hpp
@@ -35,13 +35,13 @@
 /// \brief One request, decoded. It is the same whether it came from a caller or over a relay.
 struct request
 {
-    operation what = operation::run;
+    operation op = operation::run;
     work_kind kind = work_kind::question;
     /// \brief False for billed work: then it runs at most once.
     bool repeatable = false;
     /// \brief True when the caller wants tokens as they come, false for one whole answer.
     bool streamed = true;
-    key_digest api_key{};
+    sha256_digest api_key{};
     /// \brief Set by the entry VM that authenticated the caller; zero before.
     customer_id customer;
     model_id model;
@@ -52,7 +52,7 @@
     /// \brief First token index that the caller has not got, for `attach`.
     std::uint32_t next_index = 0;
     /// \brief Digest of the idempotency key; zero when none was given.
-    key_id key;
+    idempotency_key_id key;
     /// \brief The caller's count of its attempts under this key, from 1; zero when not given.
     std::uint32_t attempt = 0;
     /// \brief Estimated prompt length in tokens.
--- a/include/plumdale/state/service_member.hpp
+++ b/include/plumdale/state/service_member.hpp
@@ -42,14 +42,14 @@
 
 /// \brief Returns the key of a start, from the key of its name alone. Where the start isn't told,
 /// that is its key.
-[[nodiscard]] constexpr member_key key_of_start(member_key name, incarnation started) noexcept
+[[nodiscard]] constexpr member_key key_of_incarnation(member_key name, incarnation started) noexcept
 {
     return started.value == 0 ? name : member_key{mix(name.value, started.value)};
 }
 
 [[nodiscard]] constexpr member_key key_of(std::string_view name, incarnation started) noexcept
 {
-    return key_of_start(named<member_key>(name), started);
+    return key_of_incarnation(id_from_name<member_key>(name), started);
 }
 
 [[nodiscard]] inline member_key key_of(service_member const& member) noexcept
--- a/include/plumdale/state/store_position.hpp
+++ b/include/plumdale/state/store_position.hpp
@@ -27,7 +27,7 @@
         return (era << revision_bits) | (revision & revision_mask);
     }
     /// \brief Returns the position that `value()` gave.
-    [[nodiscard]] static constexpr store_position of(std::uint64_t value) noexcept
+    [[nodiscard]] static constexpr store_position from_value(std::uint64_t value) noexcept
     {
         return {value >> revision_bits, value & revision_mask};
     }
@@ -36,13 +36,13 @@
 /// \brief Returns the revision as the store tells it.
 [[nodiscard]] constexpr std::uint64_t revision_in(std::uint64_t position) noexcept
 {
-    return store_position::of(position).revision;
+    return store_position::from_value(position).revision;
 }
 
 /// \brief Returns the era in which a revision was given out.
 [[nodiscard]] constexpr std::uint64_t era_in(std::uint64_t position) noexcept
 {
-    return store_position::of(position).era;
+    return store_position::from_value(position).era;
 }
 
 } // namespace plumdale::state
--- a/include/plumdale/state/upstream.hpp
+++ b/include/plumdale/state/upstream.hpp
@@ -29,7 +29,7 @@
     std::string model_name;
     endpoint address;
     /// \brief One uptime of the upstream; a mark that it is leaving holds for this uptime only.
-    incarnation uptime;
+    incarnation incarnation_number;
     bool leaving = false;
     /// \brief Whether the engine refuses an order with an old fencing number.
     bool fences_orders = true;
--- a/include/plumdale/transport/daemon.hpp
+++ b/include/plumdale/transport/daemon.hpp
@@ -15,11 +15,11 @@
 {
 
 /// \brief Makes the dispatch policies once the daemon knows its own identity and endpoints.
-using policy_choice =
+using policy_selector =
     std::function<coordination::policy_factory(coordination::node_settings const&)>;
 
 /// \brief How `daemon::run` ended.
-struct daemon_end
+struct daemon_outcome
 {
     /// \brief Requests still in flight when the drain's bound ran out; they were cut.
     std::uint32_t in_flight = 0;
@@ -32,7 +32,7 @@
 {
 public:
     /// \brief `incarnation_floor`: the incarnation of this uptime is greater.
-    daemon(protocol::daemon_settings settings, policy_choice choose_policy,
+    daemon(protocol::daemon_settings settings, policy_selector choose_policy,
            state::incarnation incarnation_floor = {});
     daemon(daemon const&) = delete;
     daemon& operator=(daemon const&) = delete;
@@ -44,14 +44,14 @@
     /// \brief Returns the settings with the endpoints that were opened. After `open()`.
     [[nodiscard]] protocol::daemon_settings const& settings() const;
     /// \brief Serves until a drain has finished. Call after `open()`.
-    daemon_end run();
+    daemon_outcome run();
 
 private:
     struct sockets;
     class implementation;
 
     protocol::daemon_settings settings_;
-    policy_choice choose_policy_;
+    policy_selector choose_policy_;
     state::incarnation incarnation_floor_;
     std::unique_ptr<sockets> sockets_;
     std::unique_ptr<implementation> implementation_;
--- a/include/plumdale/transport/forwarder.hpp
+++ b/include/plumdale/transport/forwarder.hpp
@@ -21,7 +21,7 @@
 class forwarder
 {
 public:
-    forwarder(protocol::forward_settings settings, protocol::dialect const& words,
+    forwarder(protocol::forward_settings settings, protocol::dialect const& platform_dialect,
               settings_source reread);
     forwarder(forwarder const&) = delete;
     forwarder& operator=(forwarder const&) = delete;
--- a/include/plumdale/transport/fwd.hpp
+++ b/include/plumdale/transport/fwd.hpp
@@ -7,6 +7,6 @@
 {
 
 class daemon;
-struct daemon_end;
+struct daemon_outcome;
 
 } // namespace plumdale::transport
--- a/include/plumdale/transport/log.hpp
+++ b/include/plumdale/transport/log.hpp
@@ -23,9 +23,9 @@
 };
 
 /// \brief Sets where the threshold is and how lines look; standard error gets them.
-void start_log(log_level threshold, log_format format);
+void initialize_log(log_level threshold, log_format format);
 
 /// \brief Writes one short sentence under a part's prefix, such as `callers` or `members`.
-void log(log_level level, std::string_view part, std::string_view sentence);
+void log(log_level level, std::string_view part, std::string_view message);
 
 } // namespace plumdale::transport
--- a/programs/plumctl/admin_client.cpp
+++ b/programs/plumctl/admin_client.cpp
@@ -12,27 +12,27 @@
       key_file{"",    "key-file", "file with the operator key (else PLUMDALE_OPERATOR_KEY)",
                false, "",         "FILE",
                line},
-      idle{"", "idle-ms", "longest wait for an answer", false, 5'000, "MS", line},
+      idle_timeout{"", "idle-ms", "longest wait for an answer", false, 5'000, "MS", line},
       json{"", "json", "JSON for programs", line}
 {
 }
 
-state::result<http_answer> ask(admin_options const& options, std::string const& entry,
-                               http_call call)
+state::result<http_answer> send_request(admin_options const& options, std::string const& entry,
+                                        http_call call)
 {
     std::string const key = read_key(options.key_file.getValue(), "PLUMDALE_OPERATOR_KEY");
     call.headers.emplace_back("Authorization", "Bearer " + key);
     call.headers.emplace_back("Content-Type", "application/json");
-    std::chrono::milliseconds const idle{options.idle.getValue()};
-    return http_client{entry, idle}.call(call);
+    std::chrono::milliseconds const idle_timeout{options.idle_timeout.getValue()};
+    return http_client{entry, idle_timeout}.call(call);
 }
 
-state::result<http_answer> ask_any(admin_options const& options, http_call const& call)
+state::result<http_answer> send_to_any_entry(admin_options const& options, http_call const& call)
 {
     state::failure last{state::error_kind::connection_failed, "no entry VM given"};
     for (std::string const& entry : options.entries.getValue())
     {
-        auto got = ask(options, entry, call);
+        auto got = send_request(options, entry, call);
         if (got)
         {
             return got;
--- a/programs/plumctl/admin_client.hpp
+++ b/programs/plumctl/admin_client.hpp
@@ -22,17 +22,17 @@
 
     TCLAP::MultiArg<std::string> entries;
     TCLAP::ValueArg<std::string> key_file;
-    TCLAP::ValueArg<int> idle;
+    TCLAP::ValueArg<int> idle_timeout;
     TCLAP::SwitchArg json;
 };
 
 /// \brief Returns the answer of one entry VM; a status other than 200 is an answer as well.
-[[nodiscard]] state::result<http_answer> ask(admin_options const& options, std::string const& entry,
-                                             http_call call);
+[[nodiscard]] state::result<http_answer> send_request(admin_options const& options,
+                                                      std::string const& entry, http_call call);
 
 /// \brief Returns the answer of the first entry VM that can be reached.
-[[nodiscard]] state::result<http_answer> ask_any(admin_options const& options,
-                                                 http_call const& call);
+[[nodiscard]] state::result<http_answer> send_to_any_entry(admin_options const& options,
+                                                           http_call const& call);
 
 /// \brief Returns a member as text: a string as it is, anything else as JSON, `-` when missing.
 [[nodiscard]] std::string member_text(boost::json::value const& from, char const* name);
--- a/programs/plumctl/drain.cpp
+++ b/programs/plumctl/drain.cpp
@@ -20,7 +20,7 @@
     boost::json::object answers;
     for (std::string const& entry : options.entries.getValue())
     {
-        auto const got = ask(options, entry, {"POST", "/admin/drain", {}, "{}"});
+        auto const got = send_request(options, entry, {"POST", "/admin/drain", {}, "{}"});
         if (!got || got.value().status != 200)
         {
             code = report_failure(got ? failure_of(got.value()) : got.error(), as_json);
--- a/programs/plumctl/burn_page.cpp
+++ b/programs/plumctl/error_budget_page.cpp
@@ -1,4 +1,4 @@
-#include "burn_page.hpp"
+#include "error_budget_page.hpp"
 
 #include "admin_client.hpp"
 
@@ -40,7 +40,7 @@
 dashed line is a burn of 1. Objectives without events have no plots.</p>
 )";
 
-std::string escaped(std::string_view text)
+std::string escape_html(std::string_view text)
 {
     std::string out;
     for (char const c : text)
@@ -66,7 +66,7 @@
     return out;
 }
 
-std::string shown(double value)
+std::string format_number(double value)
 {
     std::array<char, 32> text{};
     std::snprintf(text.data(), text.size(), value >= 100 ? "%.0f" : "%.2f", value);
@@ -88,7 +88,7 @@
         window.at("good").to_number<std::uint64_t>() + window.at("bad").to_number<std::uint64_t>();
     char const* const style = burn > 10 ? " class=\"hot\"" : burn > 1 ? " class=\"warm\"" : "";
     out << "<td" << style << " title=\"" << window.at("bad").to_number<std::uint64_t>() << " of "
-        << events << "\">" << (events == 0 ? "no events" : shown(burn)) << "</td>";
+        << events << "\">" << (events == 0 ? "no events" : format_number(burn)) << "</td>";
 }
 
 void write_table(std::ostringstream& out, json::object const& report, json::object const& row)
@@ -99,12 +99,12 @@
         out << "<th>" << window_name(window.to_number<std::int64_t>()) << "</th>";
     }
     out << "</tr>\n";
-    for (json::value const& goal : report.at("goals").as_array())
+    for (json::value const& target : report.at("goals").as_array())
     {
-        std::string const name = member_text(goal, "name");
-        auto const limit = goal.at("limit_ms").to_number<std::int64_t>();
-        out << "<tr><td>" << escaped(name) << "</td><td>"
-            << shown(goal.at("share").to_number<double>() * 100) << "%"
+        std::string const name = member_text(target, "name");
+        auto const limit = target.at("limit_ms").to_number<std::int64_t>();
+        out << "<tr><td>" << escape_html(name) << "</td><td>"
+            << format_number(target.at("share").to_number<double>() * 100) << "%"
             << (limit > 0 ? " within " + std::to_string(limit) + " ms" : "") << "</td>";
         for (json::value const& window : row.at("objectives").at(name).as_array())
         {
@@ -126,7 +126,8 @@
         for (char const* const quantile : {"p50", "p95", "p99"})
         {
             json::value const& time = from.at(quantile);
-            out << "<td>" << (time.is_null() ? "-" : shown(time.to_number<double>())) << "</td>";
+            out << "<td>" << (time.is_null() ? "-" : format_number(time.to_number<double>()))
+                << "</td>";
         }
         out << "</tr>\n";
     }
@@ -148,7 +149,7 @@
     double const width = left_margin + plot_width + 8;
     double const height = top_margin + plot_height + bottom_margin;
     out << "<figure><svg width=\"" << width << "\" height=\"" << height
-        << "\" role=\"img\" aria-label=\"" << escaped(caption) << "\">";
+        << "\" role=\"img\" aria-label=\"" << escape_html(caption) << "\">";
     double const step = plot_width / static_cast<double>(slots.size());
     for (std::size_t i = 0; i < slots.size(); ++i)
     {
@@ -167,11 +168,11 @@
         << "\">0</text>";
     if (top > 2)
     {
-        out << "<text x=\"4\" y=\"" << top_margin + 9 << "\">" << shown(top) << "</text>";
+        out << "<text x=\"4\" y=\"" << top_margin + 9 << "\">" << format_number(top) << "</text>";
     }
     out << "<text x=\"" << left_margin << "\" y=\"" << height - 5 << "\">oldest</text><text x=\""
         << left_margin + plot_width << "\" y=\"" << height - 5
-        << "\" text-anchor=\"end\">now</text></svg><figcaption>" << escaped(caption)
+        << "\" text-anchor=\"end\">now</text></svg><figcaption>" << escape_html(caption)
         << "</figcaption></figure>\n";
 }
 
@@ -189,9 +190,9 @@
 void write_plots(std::ostringstream& out, json::object const& report, json::object const& row)
 {
     json::array const& windows = report.at("windows_s").as_array();
-    for (json::value const& goal : report.at("goals").as_array())
+    for (json::value const& target : report.at("goals").as_array())
     {
-        std::string const name = member_text(goal, "name");
+        std::string const name = member_text(target, "name");
         json::array const& measured = row.at("objectives").at(name).as_array();
         if (!has_events(measured))
         {
@@ -209,14 +210,14 @@
 
 } // namespace
 
-std::string burn_page(json::object const& reports)
+std::string error_budget_page(json::object const& reports)
 {
     std::ostringstream out;
     out << page_head;
     for (auto const& [entry, value] : reports)
     {
         json::object const& report = value.as_object();
-        out << "<h2>Entry VM " << escaped(entry) << "</h2>\n";
+        out << "<h2>Entry VM " << escape_html(entry) << "</h2>\n";
         if (report.at("rows").as_array().empty())
         {
             out << "<p>No requests yet.</p>\n";
@@ -224,8 +225,8 @@
         for (json::value const& one : report.at("rows").as_array())
         {
             json::object const& row = one.as_object();
-            out << "<h3>" << escaped(member_text(one, "service")) << " for "
-                << escaped(member_text(one, "customer")) << "</h3>\n";
+            out << "<h3>" << escape_html(member_text(one, "service")) << " for "
+                << escape_html(member_text(one, "customer")) << "</h3>\n";
             write_table(out, report, row);
             write_latency(out, row);
             write_plots(out, report, row);
--- a/programs/plumctl/burn_page.hpp
+++ b/programs/plumctl/error_budget_page.hpp
@@ -11,6 +11,6 @@
 {
 
 /// \brief Returns HTML with inline SVG plots for `{"<entry>": <answer of GET /admin/burn>}`.
-[[nodiscard]] std::string burn_page(boost::json::object const& reports);
+[[nodiscard]] std::string error_budget_page(boost::json::object const& reports);
 
 } // namespace plumdale::plumctl
--- a/programs/plumctl/event_reader.cpp
+++ b/programs/plumctl/event_reader.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-bool take_field(std::string_view line, std::string_view name, std::string& value)
+bool append_field(std::string_view line, std::string_view name, std::string& value)
 {
     if (line.substr(0, name.size()) != name)
     {
@@ -35,7 +35,7 @@
     {
         if (c == '\n')
         {
-            take_line(line_);
+            process_line(line_);
             line_.clear();
         }
         else if (c != '\r')
@@ -45,13 +45,13 @@
     }
 }
 
-void event_reader::take_line(std::string_view line)
+void event_reader::process_line(std::string_view line)
 {
     if (!line.empty())
     {
-        static_cast<void>(take_field(line, "id:", event_.id) ||
-                          take_field(line, "event:", event_.name) ||
-                          take_field(line, "data:", event_.data));
+        static_cast<void>(append_field(line, "id:", event_.id) ||
+                          append_field(line, "event:", event_.name) ||
+                          append_field(line, "data:", event_.data));
         return;
     }
     if (!event_.data.empty())
--- a/programs/plumctl/event_reader.hpp
+++ b/programs/plumctl/event_reader.hpp
@@ -26,7 +26,7 @@
     void feed(std::string_view part);
 
 private:
-    void take_line(std::string_view line);
+    void process_line(std::string_view line);
 
     std::function<void(server_event const&)> on_event_;
     std::string line_;
--- a/programs/plumctl/forward.cpp
+++ b/programs/plumctl/forward.cpp
@@ -1,5 +1,5 @@
 #include "admin_client.hpp"
-#include "fleet_page.hpp"
+#include "fleet_summary.hpp"
 
 #include <plumdale/coordination/route_outcomes.hpp>
 
@@ -23,10 +23,10 @@
 using coordination::outcome_counts;
 
 constexpr char const* status_target = "/status";
-constexpr double usual_objective = 0.95;
-constexpr std::size_t most_lagging = 20;
+constexpr double default_objective = 0.95;
+constexpr std::size_t max_lagging_entries = 20;
 
-json::array rows_of(json::value const& page, char const* name)
+json::array array_member(json::value const& page, char const* name)
 {
     auto const* const found = page.is_object() ? page.as_object().if_contains(name) : nullptr;
     return found != nullptr && found->is_array() ? found->as_array() : json::array{};
@@ -59,12 +59,12 @@
 }
 
 /// Sums the outcomes of all entry VMs that answered.
-std::map<std::string, outcome_counts> summed(std::vector<json::value> const& pages)
+std::map<std::string, outcome_counts> sum_outcomes(std::vector<json::value> const& pages)
 {
     std::map<std::string, outcome_counts> sums;
     for (json::value const& page : pages)
     {
-        for (json::value const& row : rows_of(page, "outcomes"))
+        for (json::value const& row : array_member(page, "outcomes"))
         {
             outcome_counts const counts = counts_of(row);
             outcome_counts& sum = sums[member_text(row, "route")];
@@ -77,11 +77,11 @@
     return sums;
 }
 
-void print_burn(std::vector<json::value> const& pages, double objective)
+void print_error_budgets(std::vector<json::value> const& pages, double objective)
 {
     std::vector<std::vector<std::string>> table{
         {"ROUTE", "ON TIME", "LATE", "REFUSED", "FAILED", "LEFT", "BUDGET USED"}};
-    for (auto const& [route, counts] : summed(pages))
+    for (auto const& [route, counts] : sum_outcomes(pages))
     {
         std::vector<std::string> cells{route};
         for (std::uint64_t const count : counts)
@@ -90,7 +90,7 @@
         }
         std::array<char, 32> used{};
         std::snprintf(used.data(), used.size(), "%.2f",
-                      coordination::budget_used(counts, objective));
+                      coordination::error_budget_used(counts, objective));
         cells.emplace_back(used.data());
         table.push_back(std::move(cells));
     }
@@ -109,83 +109,84 @@
                 "live_entry_vms", "calls_in_progress", "requests_quarantined"});
 }
 
-entry_standing standing_of(json::value const& page)
+entry_status parse_entry_status(json::value const& page)
 {
     json::object const& entry = page.at("entry").as_object();
     json::value const* const age = entry.if_contains("platform_age_ms");
-    json::value const* const directory = entry.if_contains("directory");
-    entry_standing standing;
-    standing.name = member_text(entry, "name");
-    standing.zone = member_text(entry, "zone");
-    standing.is_ready = entry.at("ready").as_bool();
-    standing.reads_store = entry.at("reads_platform").as_bool();
-    standing.configuration = entry.at("configuration").to_number<std::uint64_t>();
-    standing.calls = entry.at("calls_in_progress").to_number<std::uint64_t>();
+    json::value const* const directory_digest = entry.if_contains("directory");
+    entry_status parsed;
+    parsed.name = member_text(entry, "name");
+    parsed.zone = member_text(entry, "zone");
+    parsed.is_ready = entry.at("ready").as_bool();
+    parsed.is_active_reader = entry.at("reads_platform").as_bool();
+    parsed.configuration = entry.at("configuration").to_number<std::uint64_t>();
+    parsed.calls = entry.at("calls_in_progress").to_number<std::uint64_t>();
     // Entry VMs of a former version don't tell it.
-    standing.directory = directory == nullptr ? "" : member_text(entry, "directory");
+    parsed.directory_digest = directory_digest == nullptr ? "" : member_text(entry, "directory");
     if (age != nullptr && age->is_number())
     {
-        standing.platform_age_ms = age->to_number<std::int64_t>();
+        parsed.platform_age_ms = age->to_number<std::int64_t>();
     }
-    return standing;
+    return parsed;
 }
 
 void print_fleet(std::vector<json::value> const& pages)
 {
-    std::vector<entry_standing> entries;
+    std::vector<entry_status> entries;
     for (json::value const& page : pages)
     {
-        entries.push_back(standing_of(page));
+        entries.push_back(parse_entry_status(page));
     }
     std::vector<std::vector<std::string>> table{
         {"ZONE", "VMS", "READY", "READERS", "CURRENT", "AGREEING", "OLDEST PLATFORM MS", "CALLS"}};
-    for (zone_standing const& zone : zones_of(entries))
+    for (zone_summary const& zone : summarize_zones(entries))
     {
         table.push_back({zone.zone, std::to_string(zone.entries), std::to_string(zone.ready),
-                         std::to_string(zone.readers), std::to_string(zone.current),
-                         std::to_string(zone.agreeing), std::to_string(zone.oldest_platform_ms),
-                         std::to_string(zone.calls)});
+                         std::to_string(zone.readers), std::to_string(zone.on_newest_configuration),
+                         std::to_string(zone.on_majority_directory),
+                         std::to_string(zone.max_platform_age_ms), std::to_string(zone.calls)});
     }
     print_table(table);
-    for (entry_standing const& each : lagging(entries, most_lagging))
+    for (entry_status const& each : lagging_entries(entries, max_lagging_entries))
     {
         std::cout << "lags: " << each.name << " in " << each.zone
                   << (each.is_ready ? "" : ", not ready") << ", configuration "
-                  << each.configuration << ", directory " << each.directory << '\n';
+                  << each.configuration << ", directory " << each.directory_digest << '\n';
     }
 }
 
-struct order_standing
+struct evacuation_status
 {
     std::uint64_t revision = 0;
-    std::set<std::string> obeyed_by;
+    std::set<std::string> in_force_at;
 };
 
 /// By zone, the newest order that any entry VM knows, and who has one in force for it.
-std::map<std::string, order_standing> orders_of(std::vector<json::value> const& pages)
+std::map<std::string, evacuation_status> evacuations_by_zone(std::vector<json::value> const& pages)
 {
-    std::map<std::string, order_standing> orders;
+    std::map<std::string, evacuation_status> orders;
     for (json::value const& page : pages)
     {
         json::value const& entry = page.at("entry");
-        for (json::value const& row : rows_of(entry, "evacuations"))
+        for (json::value const& row : array_member(entry, "evacuations"))
         {
-            order_standing& order = orders[member_text(row, "zone")];
+            evacuation_status& order = orders[member_text(row, "zone")];
             order.revision =
                 std::max(order.revision, row.at("revision").to_number<std::uint64_t>());
-            order.obeyed_by.insert(member_text(entry, "name"));
+            order.in_force_at.insert(member_text(entry, "name"));
         }
     }
     return orders;
 }
 
-std::string names_beside(std::vector<json::value> const& pages, std::set<std::string> const& named)
+std::string names_except(std::vector<json::value> const& pages,
+                         std::set<std::string> const& excluded)
 {
     std::string others;
     for (json::value const& page : pages)
     {
         std::string const name = member_text(page.at("entry"), "name");
-        if (!named.contains(name))
+        if (!excluded.contains(name))
         {
             others += others.empty() ? name : ' ' + name;
         }
@@ -196,11 +197,11 @@
 void print_evacuations(std::vector<json::value> const& pages)
 {
     std::vector<std::vector<std::string>> table{{"ZONE", "REVISION", "IN FORCE AT", "NOT AT"}};
-    for (auto const& [zone, order] : orders_of(pages))
+    for (auto const& [zone, order] : evacuations_by_zone(pages))
     {
         table.push_back({zone, std::to_string(order.revision),
-                         std::to_string(order.obeyed_by.size()),
-                         names_beside(pages, order.obeyed_by)});
+                         std::to_string(order.in_force_at.size()),
+                         names_except(pages, order.in_force_at)});
     }
     print_table(table);
 }
@@ -222,19 +223,19 @@
     }
     else if (subject == "routes")
     {
-        print_rows(rows_of(pages.front(), "routes"),
+        print_rows(array_member(pages.front(), "routes"),
                    {"name", "host", "prefix", "kind", "timeout_ms", "objective_ms", "services"});
     }
     else if (subject == "upstreams")
     {
-        print_rows(rows_of(pages.front(), "upstreams"),
+        print_rows(array_member(pages.front(), "upstreams"),
                    {"name", "service", "zone", "address", "state", "takes_work", "evacuated",
                     "cold", "stated_limit_per_minute", "takes_own_request", "set_aside", "fullness",
                     "fleet_calls", "fleet_tokens", "own_calls"});
     }
     else
     {
-        print_burn(pages, objective);
+        print_error_budgets(pages, objective);
     }
     return 0;
 }
@@ -254,8 +255,8 @@
     TCLAP::UnlabeledValueArg<std::string> subject{"subject", "what to show", true,
                                                   "",        &known,         line};
     TCLAP::ValueArg<double> objective{
-        "",    "objective",     "share of calls that are to be on time, for burn",
-        false, usual_objective, "SHARE",
+        "",    "objective",       "share of calls that are to be on time, for burn",
+        false, default_objective, "SHARE",
         line};
     admin_options options{line};
     line.parse(args);
@@ -263,7 +264,7 @@
     state::failure failed{state::error_kind::connection_failed, "no entry VM answered"};
     for (std::string const& entry : options.entries.getValue())
     {
-        auto const got = ask(options, entry, {"GET", status_target, {}, ""});
+        auto const got = send_request(options, entry, {"GET", status_target, {}, ""});
         json::value page =
             got && got.value().status == 200 ? parse_body(got.value().body) : json::value{};
         if (page.is_object())
--- a/programs/plumctl/generate.cpp
+++ b/programs/plumctl/generate.cpp
@@ -20,12 +20,9 @@
     {
         tokens.push_back(json::object{{"id", token.id}, {"text", token.text}});
     }
-    return {{"generation", answer.generation},
-            {"upstream", answer.upstream},
-            {"whole", answer.whole},
-            {"count", answer.next_index},
-            {"attachments", answer.attachments},
-            {"tokens", std::move(tokens)}};
+    return {{"generation", answer.generation},   {"upstream", answer.upstream},
+            {"whole", answer.complete},          {"count", answer.next_index},
+            {"attachments", answer.attachments}, {"tokens", std::move(tokens)}};
 }
 
 generate_listener make_listener(bool quiet)
@@ -37,9 +34,9 @@
                 }};
     }
     return {[](std::string const& text) { std::cout << text << std::flush; },
-            [](std::string const& note)
+            [](std::string const& diagnostic)
             {
-                std::cerr << "\nplumctl: " << note << '\n';
+                std::cerr << "\nplumctl: " << diagnostic << '\n';
             }};
 }
 
@@ -92,10 +89,10 @@
     TCLAP::ValueArg<std::string> last{
         "", "last-event-id", "the last event held, to attach after it", false, "", "ID", line};
     TCLAP::SwitchArg one_call{"", "one-call", "do not reserve an identity first", line};
-    TCLAP::ValueArg<int> idle{"",   "idle-ms", "longest silence of an entry VM", false, 10'000,
-                              "MS", line};
-    TCLAP::ValueArg<int> patience{"",   "patience-ms", "how long to go on attaching", false, 60'000,
-                                  "MS", line};
+    TCLAP::ValueArg<int> idle_timeout{
+        "", "idle-ms", "longest silence of an entry VM", false, 10'000, "MS", line};
+    TCLAP::ValueArg<int> attach_timeout{
+        "", "patience-ms", "how long to go on attaching", false, 60'000, "MS", line};
     TCLAP::SwitchArg as_json{"", "json", "one JSON object at the end", line};
     line.parse(args);
 
@@ -112,8 +109,8 @@
     options.generation = generation.getValue();
     options.last_event_id = last.getValue();
     options.one_call = one_call.getValue();
-    options.idle = std::chrono::milliseconds{idle.getValue()};
-    options.patience = std::chrono::milliseconds{patience.getValue()};
+    options.idle_timeout = std::chrono::milliseconds{idle_timeout.getValue()};
+    options.attach_timeout = std::chrono::milliseconds{attach_timeout.getValue()};
     generate_session session{std::move(options), make_listener(as_json.getValue())};
     auto const failed = session.run();
     return finish(session.answer(), failed, as_json.getValue());
--- a/programs/plumctl/generate_session.cpp
+++ b/programs/plumctl/generate_session.cpp
@@ -19,7 +19,7 @@
 constexpr std::chrono::milliseconds pause_between_rounds{100};
 
 // After these, another entry VM or a later moment may still bring the answer.
-bool worth_attaching(error_kind kind)
+bool can_retry_attach(error_kind kind)
 {
     constexpr std::array kinds{error_kind::connection_failed, error_kind::interrupted,
                                error_kind::owner_unreachable, error_kind::no_upstream,
@@ -29,7 +29,7 @@
 }
 
 // After these nothing ran, and another entry VM may take the work.
-bool worth_elsewhere(error_kind kind)
+bool can_retry_elsewhere(error_kind kind)
 {
     return kind == error_kind::connection_failed || kind == error_kind::draining ||
            kind == error_kind::not_ready;
@@ -41,7 +41,7 @@
     return value != nullptr && value->is_string() ? std::string{value->as_string()} : std::string{};
 }
 
-std::string token_of(json::value const& data)
+std::string token_text(json::value const& data)
 {
     auto const* choices = data.is_object() ? data.as_object().if_contains("choices") : nullptr;
     if (choices == nullptr || !choices->is_array() || choices->as_array().empty())
@@ -75,8 +75,8 @@
             answer_.next_index =
                 static_cast<std::uint32_t>(std::atoi(last_event_id_.c_str() + slash + 1)) + 1;
         }
-        auto failed = exchange(attach_call());
-        return failed && worth_attaching(failed->kind) ? attach_until_whole(*failed) : failed;
+        auto failed = exchange(make_attach_call());
+        return failed && can_retry_attach(failed->kind) ? attach_until_complete(*failed) : failed;
     }
     if (!options_.one_call)
     {
@@ -96,7 +96,8 @@
     {
         http_call call{"POST", "/v1/generations", {}, "{}"};
         add_headers(call);
-        auto const got = http_client{options_.entries[entry_], options_.idle}.call(call);
+        auto const got =
+            http_client{options_.entries[entry_index_], options_.idle_timeout}.call(call);
         if (got && got.value().status == 200)
         {
             boost::system::error_code malformed;
@@ -105,19 +106,19 @@
             return std::nullopt;
         }
         last = got ? failure_of(got.value()) : got.error();
-        if (!worth_elsewhere(last->kind))
+        if (!can_retry_elsewhere(last->kind))
         {
             return last;
         }
-        next_entry();
+        select_next_entry();
     }
     return last;
 }
 
 std::optional<state::failure> generate_session::start()
 {
-    auto failed = exchange(run_call());
-    if (!failed || !worth_attaching(failed->kind))
+    auto failed = exchange(make_run_call());
+    if (!failed || !can_retry_attach(failed->kind))
     {
         return failed;
     }
@@ -128,22 +129,22 @@
                    ? state::failure{error_kind::may_have_run, failed->detail}
                    : *failed;
     }
-    return attach_until_whole(*failed);
+    return attach_until_complete(*failed);
 }
 
-std::optional<state::failure> generate_session::attach_until_whole(state::failure first)
+std::optional<state::failure> generate_session::attach_until_complete(state::failure first)
 {
-    auto const until = clock::now() + options_.patience;
+    auto const until = clock::now() + options_.attach_timeout;
     state::failure last = std::move(first);
     std::size_t unknown_in_a_row = 0;
     for (std::size_t tries = 0; clock::now() < until; ++tries)
     {
-        next_entry();
-        listener_.on_note(std::string{state::answer_for(last.kind).name} + " after " +
-                          std::to_string(answer_.next_index) + " tokens; attaching through " +
-                          options_.entries[entry_]);
+        select_next_entry();
+        listener_.on_diagnostic(std::string{state::answer_for(last.kind).name} + " after " +
+                                std::to_string(answer_.next_index) + " tokens; attaching through " +
+                                options_.entries[entry_index_]);
         ++answer_.attachments;
-        auto const failed = exchange(attach_call());
+        auto const failed = exchange(make_attach_call());
         if (!failed)
         {
             return std::nullopt;
@@ -151,7 +152,7 @@
         last = *failed;
         unknown_in_a_row = last.kind == error_kind::unknown_generation ? unknown_in_a_row + 1 : 0;
         bool const unknown_to_all = unknown_in_a_row >= options_.entries.size();
-        if (unknown_to_all || (unknown_in_a_row == 0 && !worth_attaching(last.kind)))
+        if (unknown_to_all || (unknown_in_a_row == 0 && !can_retry_attach(last.kind)))
         {
             return last;
         }
@@ -165,21 +166,21 @@
 
 std::optional<state::failure> generate_session::exchange(http_call const& call)
 {
-    broken_.reset();
+    stream_failure_.reset();
     event_reader reader{[this](server_event const& event)
                         {
-                            take_event(event);
+                            process_event(event);
                         }};
-    auto const got = http_client{options_.entries[entry_], options_.idle}.stream(
-        call, [this](http_answer const& head) { take_head(head); },
+    auto const got = http_client{options_.entries[entry_index_], options_.idle_timeout}.stream(
+        call, [this](http_answer const& head) { process_head(head); },
         [&reader](std::string_view part) { reader.feed(part); });
-    if (answer_.whole)
+    if (answer_.complete)
     {
         return std::nullopt;
     }
-    if (broken_)
+    if (stream_failure_)
     {
-        return broken_;
+        return stream_failure_;
     }
     if (!got)
     {
@@ -192,7 +193,7 @@
     return failure_of(got.value());
 }
 
-http_call generate_session::attach_call() const
+http_call generate_session::make_attach_call() const
 {
     http_call call{"GET", "/v1/generations/" + answer_.generation, {}, ""};
     add_headers(call);
@@ -203,7 +204,7 @@
     return call;
 }
 
-http_call generate_session::run_call() const
+http_call generate_session::make_run_call() const
 {
     json::object body{{"model", options_.model}, {"prompt", options_.prompt}, {"stream", true}};
     if (options_.max_tokens > 0)
@@ -241,7 +242,7 @@
     }
 }
 
-void generate_session::take_head(http_answer const& head)
+void generate_session::process_head(http_answer const& head)
 {
     if (head.status != 200)
     {
@@ -257,9 +258,9 @@
     }
 }
 
-void generate_session::take_event(server_event const& event)
+void generate_session::process_event(server_event const& event)
 {
-    if (broken_ || answer_.whole)
+    if (stream_failure_ || answer_.complete)
     {
         return;
     }
@@ -267,19 +268,19 @@
     {
         http_answer cut;
         cut.body = event.data;
-        broken_ = failure_of(cut);
+        stream_failure_ = failure_of(cut);
         return;
     }
     if (event.data == "[DONE]")
     {
-        answer_.whole = true;
+        answer_.complete = true;
         return;
     }
-    take_token(event);
+    process_token(event);
 }
 
 // A token counts only when it is the next one of the generation that this answer began with.
-void generate_session::take_token(server_event const& event)
+void generate_session::process_token(server_event const& event)
 {
     std::string const generation = event.id.substr(0, event.id.find_first_of("@/"));
     std::size_t const slash = event.id.rfind('/');
@@ -295,20 +296,20 @@
     json::value const data = json::parse(event.data, malformed);
     if (malformed || !numbered || index != answer_.next_index || generation != answer_.generation)
     {
-        broken_ = state::failure{error_kind::internal,
-                                 "event " + event.id + " where " + answer_.generation + "/" +
-                                     std::to_string(answer_.next_index) + " was due"};
+        stream_failure_ = state::failure{error_kind::internal,
+                                         "event " + event.id + " where " + answer_.generation +
+                                             "/" + std::to_string(answer_.next_index) + " was due"};
         return;
     }
     last_event_id_ = event.id;
     ++answer_.next_index;
-    answer_.tokens.push_back({event.id, token_of(data)});
+    answer_.tokens.push_back({event.id, token_text(data)});
     listener_.on_token(answer_.tokens.back().text);
 }
 
-void generate_session::next_entry()
+void generate_session::select_next_entry()
 {
-    entry_ = (entry_ + 1) % options_.entries.size();
+    entry_index_ = (entry_index_ + 1) % options_.entries.size();
 }
 
 } // namespace plumdale::plumctl
--- a/programs/plumctl/generate_session.hpp
+++ b/programs/plumctl/generate_session.hpp
@@ -32,8 +32,8 @@
     std::string generation;    ///< Attach to this one instead of running one.
     std::string last_event_id; ///< The last event held, for an attachment.
     bool one_call = false;     ///< Run without reserving an identity first.
-    std::chrono::milliseconds idle{10'000};
-    std::chrono::milliseconds patience{60'000};
+    std::chrono::milliseconds idle_timeout{10'000};
+    std::chrono::milliseconds attach_timeout{60'000};
 };
 
 struct token_event
@@ -50,14 +50,14 @@
     std::vector<token_event> tokens;
     std::uint32_t next_index = 0;
     std::uint32_t attachments = 0;
-    bool whole = false;
+    bool complete = false;
 };
 
 /// \brief Told each token's text, and notes for people.
 struct generate_listener
 {
     std::function<void(std::string const& text)> on_token;
-    std::function<void(std::string const& note)> on_note;
+    std::function<void(std::string const& diagnostic)> on_diagnostic;
 };
 
 /// \brief Reserves, runs and re-attaches until the answer is whole or can't be got.
@@ -73,22 +73,22 @@
 private:
     [[nodiscard]] std::optional<state::failure> reserve();
     [[nodiscard]] std::optional<state::failure> start();
-    [[nodiscard]] std::optional<state::failure> attach_until_whole(state::failure first);
+    [[nodiscard]] std::optional<state::failure> attach_until_complete(state::failure first);
     [[nodiscard]] std::optional<state::failure> exchange(http_call const& call);
-    [[nodiscard]] http_call attach_call() const;
-    [[nodiscard]] http_call run_call() const;
+    [[nodiscard]] http_call make_attach_call() const;
+    [[nodiscard]] http_call make_run_call() const;
     void add_headers(http_call& call) const;
-    void take_head(http_answer const& head);
-    void take_event(server_event const& event);
-    void take_token(server_event const& event);
-    void next_entry();
+    void process_head(http_answer const& head);
+    void process_event(server_event const& event);
+    void process_token(server_event const& event);
+    void select_next_entry();
 
     generate_options options_;
     generate_listener listener_;
     generate_answer answer_;
     std::string last_event_id_;
-    std::optional<state::failure> broken_;
-    std::size_t entry_ = 0;
+    std::optional<state::failure> stream_failure_;
+    std::size_t entry_index_ = 0;
 };
 
 } // namespace plumdale::plumctl
