--- a/src/coordination/membership_probing.cpp
+++ b/src/coordination/membership_probing.cpp
@@ -13,15 +13,15 @@
 using state::member_health;
 
 // Each member is watched by this many of its zone, so that a zone that is cut off knows its own.
-constexpr std::size_t watched_in_zone = 2;
-constexpr std::size_t watched_in_all = 1;
-constexpr std::size_t probed_at_random = 1;
-constexpr std::size_t indirect_helpers = 3;
-constexpr std::size_t most_relayed = 64;
-constexpr std::size_t candidates_while_alone = 8;
-constexpr std::uint64_t candidate_rounds = 4;
+constexpr std::size_t zone_probe_targets = 2;
+constexpr std::size_t fleet_probe_targets = 1;
+constexpr std::size_t random_probe_targets = 1;
+constexpr std::size_t indirect_probers = 3;
+constexpr std::size_t max_relayed_probes = 64;
+constexpr std::size_t candidates_when_isolated = 8;
+constexpr std::uint64_t rounds_per_candidate_ping = 4;
 constexpr state::duration catching_up_interval = std::chrono::milliseconds{100};
-constexpr std::uint32_t disagreements_to_compare = 16;
+constexpr std::uint32_t mismatches_to_sync = 16;
 constexpr std::uint64_t fleet_ring = 0x666c656574ULL;
 
 } // namespace
@@ -31,7 +31,7 @@
 void membership::begin_round(state::time_point now, control_actions& actions)
 {
     ++round_;
-    hurried_ = catching_up(now);
+    is_fast_round_ = catching_up(now);
     page_sequence_ = 0;
     choose_targets();
     for (probe const& each : probes_)
@@ -39,16 +39,17 @@
         ping(each.address, each.target, each.sequence, actions);
     }
     ping_candidates(actions);
-    escalate_at_ = hurried_ ? state::never : now + settings_.probe_timeout;
-    round_at_ = now + spread(hurried_ ? catching_up_interval : settings_.probe_interval);
+    indirect_probe_at_ = is_fast_round_ ? state::never : now + settings_.probe_timeout;
+    next_round_at_ =
+        now + with_jitter(is_fast_round_ ? catching_up_interval : settings_.probe_interval);
 }
 
 // Nodes that started together do not stay in step.
-state::duration membership::spread(state::duration time)
+state::duration membership::with_jitter(state::duration time)
 {
-    std::uniform_int_distribution<state::duration::rep> of{time.count() * 9 / 10,
-                                                           time.count() * 11 / 10};
-    return state::duration{of(random_)};
+    std::uniform_int_distribution<state::duration::rep> distribution{time.count() * 9 / 10,
+                                                                     time.count() * 11 / 10};
+    return state::duration{distribution(random_)};
 }
 
 void membership::end_round(state::time_point now)
@@ -57,7 +58,7 @@
     {
         state::member_entry* const entry = table_.find(each.target);
         // Rounds in a hurry are too short to tell silence from delay.
-        if (entry == nullptr || !lives(entry->info) || hurried_)
+        if (entry == nullptr || !is_not_dead(entry->info) || is_fast_round_)
         {
             continue;
         }
@@ -72,16 +73,17 @@
 
 void membership::choose_targets()
 {
-    for (state::node_id const id : ring_successors(own_zone(), self_.zone.value, watched_in_zone))
+    for (state::node_id const id :
+         ring_successors(zone_scope(), self_.zone.value, zone_probe_targets))
     {
         add_target(id);
     }
-    std::size_t const elsewhere = watched_in_zone - probes_.size() + watched_in_all;
-    for (state::node_id const id : ring_successors(everyone(), fleet_ring, elsewhere))
+    std::size_t const elsewhere = zone_probe_targets - probes_.size() + fleet_probe_targets;
+    for (state::node_id const id : ring_successors(fleet_scope(), fleet_ring, elsewhere))
     {
         add_target(id);
     }
-    for (state::member const& each : random_members(everyone(), probed_at_random, random_))
+    for (state::member const& each : random_members(fleet_scope(), random_probe_targets, random_))
     {
         add_target(each.id);
     }
@@ -115,7 +117,7 @@
     send(to, std::move(message), actions);
 }
 
-void membership::ask(state::member const& member, control_actions& actions)
+void membership::poll(state::member const& member, control_actions& actions)
 {
     ping(member.datagrams, member.id, next_sequence_++, actions);
 }
@@ -124,14 +126,14 @@
 // halves that declared each other dead find together again through these.
 void membership::ping_candidates(control_actions& actions)
 {
-    bool const alone = random_members(everyone(), 1, random_).empty();
-    if (!alone && round_ % candidate_rounds != 0)
+    bool const alone = random_members(fleet_scope(), 1, random_).empty();
+    if (!alone && round_ % rounds_per_candidate_ping != 0)
     {
         return;
     }
     std::vector<state::endpoint> unknown = unknown_endpoints();
     std::shuffle(unknown.begin(), unknown.end(), random_);
-    unknown.resize(std::min(unknown.size(), alone ? candidates_while_alone : 1));
+    unknown.resize(std::min(unknown.size(), alone ? candidates_when_isolated : 1));
     for (state::endpoint const at : unknown)
     {
         ping(at, {}, next_sequence_++, actions);
@@ -144,7 +146,7 @@
     std::vector<state::endpoint> known{self_.datagrams};
     for (state::member_entry const& entry : table_.entries())
     {
-        (lives(entry.info) ? known : unknown).push_back(entry.info.datagrams);
+        (is_not_dead(entry.info) ? known : unknown).push_back(entry.info.datagrams);
     }
     std::sort(known.begin(), known.end());
     std::erase_if(unknown, [&known](state::endpoint at)
@@ -163,14 +165,14 @@
             continue;
         }
         ping(each.address, each.target, each.sequence, actions);
-        for (state::member const& helper : random_members(everyone(), indirect_helpers, random_))
+        for (state::member const& helper : random_members(fleet_scope(), indirect_probers, random_))
         {
-            peer_message ask;
-            ask.kind = peer_message_kind::ping_request;
-            ask.sequence = each.sequence;
-            ask.target = each.target;
-            ask.target_address = each.address;
-            send(helper.datagrams, std::move(ask), actions);
+            peer_message request;
+            request.kind = peer_message_kind::ping_request;
+            request.sequence = each.sequence;
+            request.target = each.target;
+            request.target_address = each.address;
+            send(helper.datagrams, std::move(request), actions);
         }
     }
 }
@@ -200,16 +202,16 @@
 void membership::relay_ping(state::endpoint from, peer_message const& message,
                             control_actions& actions)
 {
-    if (relayed_.size() >= most_relayed)
+    if (relayed_probes_.size() >= max_relayed_probes)
     {
-        relayed_.erase(relayed_.begin());
+        relayed_probes_.erase(relayed_probes_.begin());
     }
-    relayed_.push_back({next_sequence_, from, message.sequence, message.target});
+    relayed_probes_.push_back({next_sequence_, from, message.sequence, message.target});
     ping(message.target_address, message.target, next_sequence_++, actions);
 }
 
-void membership::take_ack(state::endpoint from, peer_message const& message, state::time_point now,
-                          control_actions& actions)
+void membership::receive_ack(state::endpoint from, peer_message const& message,
+                             state::time_point now, control_actions& actions)
 {
     for (probe& each : probes_)
     {
@@ -220,39 +222,39 @@
         }
     }
     relay_ack(message, actions);
-    digests_agree_ = message.digests.members == table_.digest();
-    disagreements_ = digests_agree_ ? 0 : disagreements_ + 1;
+    digests_match_ = message.digests.members == table_.digest();
+    digest_mismatches_ = digests_match_ ? 0 : digest_mismatches_ + 1;
     page_after_ = message.members_after;
-    ask_next_page(from, message, now, actions);
+    request_next_page(from, message, now, actions);
 }
 
 void membership::relay_ack(peer_message const& message, control_actions& actions)
 {
     auto const relayed =
-        std::find_if(relayed_.begin(), relayed_.end(),
+        std::find_if(relayed_probes_.begin(), relayed_probes_.end(),
                      [&message](relayed_probe const& each) {
                          return each.sequence == message.sequence && each.target == message.target;
                      });
-    if (relayed == relayed_.end())
+    if (relayed == relayed_probes_.end())
     {
         return;
     }
     peer_message ack;
     ack.kind = peer_message_kind::ack;
-    ack.sequence = relayed->asker_sequence;
+    ack.sequence = relayed->requester_sequence;
     ack.target = relayed->target;
-    send(relayed->asker, std::move(ack), actions);
-    relayed_.erase(relayed);
+    send(relayed->requester, std::move(ack), actions);
+    relayed_probes_.erase(relayed);
 }
 
 // One page follows the other, from one peer at a time, when this node has just started or when
 // tables stayed different for longer than news takes to spread.
-void membership::ask_next_page(state::endpoint from, peer_message const& message,
-                               state::time_point now, control_actions& actions)
+void membership::request_next_page(state::endpoint from, peer_message const& message,
+                                   state::time_point now, control_actions& actions)
 {
-    bool const wanted = catching_up(now) || disagreements_ >= disagreements_to_compare;
+    bool const wanted = catching_up(now) || digest_mismatches_ >= mismatches_to_sync;
     bool const in_turn = page_sequence_ == 0 || page_sequence_ == message.sequence;
-    if (digests_agree_ || !wanted || !in_turn || !message.members_after)
+    if (digests_match_ || !wanted || !in_turn || !message.members_after)
     {
         return;
     }
--- a/src/coordination/order_planner.cpp
+++ b/src/coordination/order_planner.cpp
@@ -12,8 +12,8 @@
 constexpr std::uint64_t max_count = 0xffff;
 
 // Engines of one model in an order that all nodes derive alike and that a change moves little.
-[[nodiscard]] std::vector<upstream_view const*> ranked(std::span<upstream_view const> upstreams,
-                                                       state::model_id model)
+[[nodiscard]] std::vector<upstream_view const*>
+ranked_engines(std::span<upstream_view const> upstreams, state::model_id model)
 {
     std::vector<upstream_view const*> result;
     for (upstream_view const& view : upstreams)
@@ -31,7 +31,7 @@
     return result;
 }
 
-[[nodiscard]] bool same_content(state::engine_order const& a, state::engine_order const& b)
+[[nodiscard]] bool same_assignment(state::engine_order const& a, state::engine_order const& b)
 {
     return a.role == b.role && a.version == b.version && a.adapter == b.adapter;
 }
@@ -54,7 +54,7 @@
     std::uint32_t rank = 0;
     for (state::engine_assignment const& each : preset.assignments)
     {
-        auto const engines = ranked(upstreams, each.model);
+        auto const engines = ranked_engines(upstreams, each.model);
         percent[each.model] = std::min(percent[each.model] + each.percent, 100U);
         std::size_t const end = (engines.size() * percent[each.model] + 99) / 100;
         for (std::size_t i = taken[each.model]; i < end; ++i)
@@ -78,7 +78,7 @@
     if (fleet.in_force != stamp_)
     {
         stamp_ = fleet.in_force;
-        since_ = now;
+        in_force_since_ = now;
     }
     std::map<state::upstream_id, row> rows;
     // A node that has not caught up may know neither the preset in force nor the other members: it
@@ -95,13 +95,13 @@
             std::move(each), view->info.address, view->info.fences_orders, now, now, false, false};
         std::uint32_t const turn =
             next.planned.load_rank / std::max(settings_.weight_loads_at_once, 1U);
-        next.not_before = since_ + settings_.weight_load_time * turn;
+        next.not_before = in_force_since_ + settings_.weight_load_time * turn;
         auto const known = rows_.find(next.planned.upstream);
         if (known != rows_.end() && known->second.planned.order == next.planned.order)
         {
             next.next_read = known->second.next_read;
-            next.reading = known->second.reading;
-            next.ordered = known->second.ordered;
+            next.read_pending = known->second.read_pending;
+            next.order_sent = known->second.order_sent;
         }
         rows.emplace(next.planned.upstream, std::move(next));
     }
@@ -118,16 +118,16 @@
     row& each = at->second;
     // Only the answer to a question asked since the last pause and for the plan in force is acted
     // on: an engine that ignores fencing numbers would follow a node that slept through a switch.
-    bool const fresh =
-        std::exchange(each.reading, false) || !settings_.safeguards.has(safeguard::pause_recheck);
+    bool const fresh = std::exchange(each.read_pending, false) ||
+                       !settings_.safeguards.has(safeguard::pause_recheck);
     state::engine_order wanted = each.planned.order;
     if (!settings_.safeguards.has(safeguard::order_fence))
     {
         wanted.fence = 0;
     }
     // An engine that checks may already follow a later switch than is known here.
-    bool const overtaken = each.fences && event.order.fence > wanted.fence;
-    bool const follows = same_content(event.order, wanted);
+    bool const overtaken = each.checks_fence && event.order.fence > wanted.fence;
+    bool const follows = same_assignment(event.order, wanted);
     if (!fresh || overtaken || follows || now < each.not_before ||
         !is_responsible_for(event.upstream))
     {
@@ -141,7 +141,7 @@
     auto const at = rows_.find(event.upstream);
     if (at != rows_.end())
     {
-        at->second.reading = false;
+        at->second.read_pending = false;
     }
 }
 
@@ -149,7 +149,7 @@
 {
     for (auto& [upstream, each] : rows_)
     {
-        each.reading = false;
+        each.read_pending = false;
         each.next_read = {};
     }
 }
@@ -165,7 +165,7 @@
         each.next_read = now + settings_.order_interval;
         if (is_responsible_for(upstream) && now >= each.not_before)
         {
-            ask_or_order(each, actions);
+            read_or_order(each, actions);
         }
         else if (now < each.not_before)
         {
@@ -175,14 +175,14 @@
 }
 
 // Ordered once and never looked at again, an engine that starts anew would stay without an order.
-void order_planner::ask_or_order(row& each, control_actions& actions) const
+void order_planner::read_or_order(row& each, control_actions& actions) const
 {
     if (settings_.safeguards.has(safeguard::order_readback))
     {
-        each.reading = true;
+        each.read_pending = true;
         actions.emplace_back(read_order{each.planned.upstream, each.address});
     }
-    else if (!std::exchange(each.ordered, true))
+    else if (!std::exchange(each.order_sent, true))
     {
         actions.emplace_back(send_order{each.planned.upstream, each.address, each.planned.order});
     }
--- a/src/coordination/overflow_limit.cpp
+++ b/src/coordination/overflow_limit.cpp
@@ -18,15 +18,15 @@
 constexpr double lowest_factor = 0.6;
 constexpr double highest_factor = 1.6;
 /// Aimed at below the bound, since the limit swings about its aim.
-constexpr double aim = 0.9;
+constexpr double target_fraction = 0.9;
 /// How full an engine may be for a question; the rest covers what others sent since the report.
-constexpr double question_fill = 0.95;
+constexpr double question_fill_limit = 0.95;
 /// Batch places kept free of drafts.
-constexpr double question_places = 0.1;
+constexpr double question_slot_fraction = 0.1;
 
 /// Part of the drafts' batch places that questions of a customer over its share may take: they come
 /// and go so fast that they would else take each place before a draft of another customer does.
-constexpr double over_share_places = 0.85;
+constexpr double over_share_slot_fraction = 0.85;
 
 /// \brief Returns the deviations above the mean that a normal variable exceeds with `chance`.
 double normal_deviations(double chance) noexcept
@@ -44,7 +44,7 @@
 
 } // namespace
 
-void overflow_limit::use(state::preset const& preset) noexcept
+void overflow_limit::configure(state::preset const& preset) noexcept
 {
     if (preset.overflow_chance != overflow_chance_)
     {
@@ -63,7 +63,7 @@
         return;
     }
     // While nothing meets the limit, the lack of preemptions says nothing of it.
-    double const allowed = binding ? aim * overflow_chance_ * answers : 0.0;
+    double const allowed = binding ? target_fraction * overflow_chance_ * answers : 0.0;
     answers_ += answers / engines;
     double const step = std::max(last_step, first_step / (1.0 + answers_ / learning_answers));
     factor_ += step * (allowed - preemptions) / engines;
@@ -71,41 +71,41 @@
 }
 
 double overflow_limit::near_fill(engine_forecast const& engine,
-                                 load_forecast const& wanted) noexcept
+                                 load_forecast const& candidate) noexcept
 {
-    double const mean = engine.load.mean[0] + wanted.mean[0];
-    double const held = engine.held + wanted.mean[0];
+    double const mean = engine.load.mean[0] + candidate.mean[0];
+    double const held = engine.held + candidate.mean[0];
     return engine.capacity > 0.0 ? std::max(mean, held) / engine.capacity : 0.0;
 }
 
 double overflow_limit::fill(engine_forecast const& engine,
-                            load_forecast const& wanted) const noexcept
+                            load_forecast const& candidate) const noexcept
 {
     double fullest = 0.0;
     for (std::size_t i = 0; i < horizon_points; ++i)
     {
-        double const mean = engine.load.mean[i] + wanted.mean[i];
-        double const variance = engine.load.variance[i] + wanted.variance[i];
+        double const mean = engine.load.mean[i] + candidate.mean[i];
+        double const variance = engine.load.variance[i] + candidate.variance[i];
         fullest = std::max(fullest, mean + deviations_ * std::sqrt(variance));
     }
     return engine.capacity > 0.0 ? fullest / engine.capacity : 0.0;
 }
 
-room overflow_limit::check(engine_forecast const& engine, load_forecast const& wanted,
-                           state::work_kind kind, double share) const noexcept
+capacity_status overflow_limit::check(engine_forecast const& engine, load_forecast const& candidate,
+                                      state::work_kind kind, double share) const noexcept
 {
     bool const draft = kind == state::work_kind::draft;
     bool const first = !draft && share >= 1.0;
-    double const places =
-        first ? max_batch_
-              : max_batch_ * (1.0 - question_places) * share * (draft ? 1.0 : over_share_places);
+    double const places = first ? max_batch_
+                                : max_batch_ * (1.0 - question_slot_fraction) * share *
+                                      (draft ? 1.0 : over_share_slot_fraction);
     if (engine.batch + 1.0 > places)
     {
-        return room::batch_full;
+        return capacity_status::batch_full;
     }
-    double const used = draft ? fill(engine, wanted) : near_fill(engine, wanted);
-    double const limit = share * (draft ? factor_ * (1.0 - headroom_) : question_fill);
-    return used <= limit ? room::free : room::memory_full;
+    double const used = draft ? fill(engine, candidate) : near_fill(engine, candidate);
+    double const limit = share * (draft ? factor_ * (1.0 - headroom_) : question_fill_limit);
+    return used <= limit ? capacity_status::free : capacity_status::memory_full;
 }
 
 double overflow_limit::factor() const noexcept
--- a/src/coordination/pause_watch.hpp
+++ b/src/coordination/pause_detector.hpp
@@ -12,14 +12,14 @@
 // and upstreams is as old as the stop was long, and others may have taken its keys: it would send
 // work to an engine that left, or run a key anew. So it waits for a newer snapshot, for a bounded
 // time, and forgets that it knew any key's past.
-class pause_watch
+class pause_detector
 {
 public:
-    explicit pause_watch(shard_core& core) : core_{core} {}
+    explicit pause_detector(shard_core& core) : core_{core} {}
 
     /// \brief Returns whether `due`, the deadline asked for last, is met so late that the process
     /// can't have run.
-    [[nodiscard]] bool late(state::time_point due) const
+    [[nodiscard]] bool detects_pause(state::time_point due) const
     {
         return started_ && core_.now > due + core_.settings().pause_tolerance;
     }
@@ -29,11 +29,11 @@
     {
         count(core_.counts.paused);
         core_.hold_until = core_.now + core_.settings().pause_hold;
-        held_version_ = core_.context.fleet.version();
+        version_at_pause_ = core_.context.fleet.version();
         next_tick_ = core_.now;
-        if (core_.guarded(safeguard::pause_recheck))
+        if (core_.enabled(safeguard::pause_recheck))
         {
-            core_.keys.missed_until(core_.now);
+            core_.keys.mark_incomplete_until(core_.now);
         }
     }
 
@@ -43,7 +43,7 @@
         started_ = true;
         if (core_.now >= next_tick_)
         {
-            next_tick_ = core_.now + interval;
+            next_tick_ = core_.now + tick_interval;
             seen_version_ = 0;
         }
     }
@@ -52,7 +52,7 @@
     [[nodiscard]] bool fleet_changed()
     {
         std::uint64_t const version = core_.context.fleet.version();
-        if (core_.on_hold() && version != held_version_)
+        if (core_.on_hold() && version != version_at_pause_)
         {
             core_.hold_until = core_.now;
         }
@@ -65,12 +65,12 @@
     }
 
 private:
-    static constexpr state::duration interval = std::chrono::seconds{1};
+    static constexpr state::duration tick_interval = std::chrono::seconds{1};
 
     shard_core& core_;
     state::time_point next_tick_{};
     std::uint64_t seen_version_ = 0;
-    std::uint64_t held_version_ = 0;
+    std::uint64_t version_at_pause_ = 0;
     bool started_ = false;
 };
 
--- a/src/coordination/prefix_hints.cpp
+++ b/src/coordination/prefix_hints.cpp
@@ -7,13 +7,13 @@
 {
     for (std::uint64_t const block : prefix)
     {
-        table_[block % entries] = {block, engine};
+        table_[block % entry_count] = {block, engine};
     }
 }
 
 void prefix_hints::evicted(std::uint64_t block, state::upstream_id engine) noexcept
 {
-    entry& each = table_[block % entries];
+    entry& each = table_[block % entry_count];
     if (each.block == block && each.engine == engine)
     {
         each = {};
@@ -24,7 +24,7 @@
 {
     for (std::size_t i = prefix.size(); i > 0; --i)
     {
-        entry const& each = table_[prefix[i - 1] % entries];
+        entry const& each = table_[prefix[i - 1] % entry_count];
         if (each.block == prefix[i - 1] && each.engine)
         {
             return each.engine;
--- a/src/coordination/preset_agreement.cpp
+++ b/src/coordination/preset_agreement.cpp
@@ -11,10 +11,10 @@
 {
 
 constexpr std::uint64_t reader_subject = 0x7265616465727321ULL;
-constexpr std::size_t peers_to_hear = 2;
-constexpr std::size_t asked_in_zone = 2;
-constexpr state::duration ask_interval = std::chrono::milliseconds{100};
-constexpr std::size_t most_pending = 64;
+constexpr std::size_t min_caught_up_peers = 2;
+constexpr std::size_t polls_per_zone = 2;
+constexpr state::duration poll_interval = std::chrono::milliseconds{100};
+constexpr std::size_t max_pending_switches = 64;
 
 } // namespace
 
@@ -41,7 +41,7 @@
         stamp = stamp_;
         stamp.revision = event.revision;
     }
-    take_stamp(stamp);
+    merge_stamp(stamp);
 }
 
 void preset_agreement::handle(preset_published const& event, state::time_point /*now*/)
@@ -75,7 +75,7 @@
     }
 }
 
-void preset_agreement::handle(platform_failed const& /*event*/, state::time_point now)
+void preset_agreement::handle(configuration_read_failed const& /*event*/, state::time_point now)
 {
     version_ += reader_.reachable() ? 1 : 0;
     reader_.fail(now);
@@ -88,12 +88,12 @@
     {
         exchange_.held(ref, members_.entries().size());
         ++version_;
-        news_ = true;
-        put_in_force();
+        update_pending_ = true;
+        apply_stamp();
     }
 }
 
-void preset_agreement::take_stamp(state::preset_stamp stamp)
+void preset_agreement::merge_stamp(state::preset_stamp stamp)
 {
     // Joined by maximum: a stale read, a waking node or a datagram that took long can only lose.
     // Replacing instead would undo a switch wherever an old copy happens to arrive last.
@@ -105,15 +105,15 @@
     }
     stamp_ = next;
     stamp_holders_.clear();
-    switched_in_outage_ = stamp_.count > 0 && reader_.is_down();
+    switched_in_outage_ = stamp_.count > 0 && reader_.is_service_down();
     ++version_;
-    news_ = true;
-    put_in_force();
+    update_pending_ = true;
+    apply_stamp();
 }
 
 // A switch to a preset that is not held yet waits for its content; until then the preset before it
 // stays in force, so that there is always exactly one.
-void preset_agreement::put_in_force()
+void preset_agreement::apply_stamp()
 {
     if (in_force_ != stamp_ && content_.find_preset(stamp_.preset) != nullptr)
     {
@@ -126,7 +126,7 @@
 
 void preset_agreement::receive(peer_message const& message, bool marks_agree, state::time_point now)
 {
-    take_stamp(message.stamp);
+    merge_stamp(message.stamp);
     exchange_.receive(
         message,
         [this](state::content_key key)
@@ -147,9 +147,9 @@
     // A peer that is itself catching up may know as little as this node.
     if (!caught_up_ && message.caught_up)
     {
-        peers_heard_.insert(message.sender.id);
+        caught_up_peers_.insert(message.sender.id);
         bool const content_agrees = message.digests.content == content_.digest();
-        peer_agrees_ = peer_agrees_ || (content_agrees && marks_agree);
+        peer_digests_match_ = peer_digests_match_ || (content_agrees && marks_agree);
         check_caught_up(now);
     }
 }
@@ -164,13 +164,13 @@
     exchange_.unavailable(event, now);
 }
 
-void preset_agreement::complete(peer_message& message, peer_message const* reply_to)
+void preset_agreement::piggyback(peer_message& message, peer_message const* reply_to)
 {
     message.caught_up = caught_up_;
     message.stamp = stamp_;
     message.digests.content = content_.digest();
     bool const differs = reply_to != nullptr && reply_to->digests.content != content_.digest();
-    exchange_.complete(message, differs);
+    exchange_.piggyback(message, differs);
 }
 
 // -- catching up -------------------------------------------------------------------------------
@@ -194,14 +194,14 @@
         return;
     }
     bool const by_peers =
-        peer_agrees_ &&
-        peers_heard_.size() >= std::min(peers_to_hear, members_.entries().size() - 1);
+        peer_digests_match_ &&
+        caught_up_peers_.size() >= std::min(min_caught_up_peers, members_.entries().size() - 1);
     bool const alone = now >= catch_up_ends_ || !expects_peers();
     bool const skipped = !settings_.safeguards.has(safeguard::catch_up);
-    if (by_peers || ((alone || skipped) && (service_read_ || had_memory_)))
+    if (by_peers || ((alone || skipped) && (service_read_ || was_caught_up_)))
     {
         caught_up_ = true;
-        had_memory_ = true;
+        was_caught_up_ = true;
         ++version_;
     }
 }
@@ -214,8 +214,8 @@
     }
     caught_up_ = false;
     service_read_ = false;
-    peer_agrees_ = false;
-    peers_heard_.clear();
+    peer_digests_match_ = false;
+    caught_up_peers_.clear();
     catch_up_ends_ = now + settings_.catch_up_wait;
     reader_.resume_after_pause(now);
     ++version_;
@@ -228,7 +228,7 @@
 
 // Engines ordered for a switch that is then lost with the one VM that took it would follow a preset
 // that nobody has in force, under a fencing number that nobody reaches.
-bool preset_agreement::outlives_this_vm() const noexcept
+bool preset_agreement::in_force_is_durable() const noexcept
 {
     return in_force_.count == 0 ||
            (in_force_ == stamp_ && stamp_holders_.size() >= settings_.switch_holders);
@@ -248,7 +248,7 @@
     {
         return refuse(switch_outcome::not_ready);
     }
-    if (account == nullptr || pending_.size() >= most_pending)
+    if (account == nullptr || pending_.size() >= max_pending_switches)
     {
         return refuse(switch_outcome::not_allowed);
     }
@@ -260,9 +260,9 @@
     std::uint32_t const count = revision == stamp_.revision ? stamp_.count + 1 : 1;
     pending_switch pending{
         event.exchange, {revision, count, account->id.value, event.preset}, now, {}};
-    take_stamp(pending.stamp);
+    merge_stamp(pending.stamp);
     pending_.push_back(std::move(pending));
-    next_ask_ = now;
+    next_poll_at_ = now;
 }
 
 std::set<state::zone_id> preset_agreement::zones_of(std::set<state::node_id> const& ids) const
@@ -278,7 +278,7 @@
     return zones;
 }
 
-bool preset_agreement::is_held(pending_switch const& pending) const
+bool preset_agreement::has_enough_holders(pending_switch const& pending) const
 {
     // Accepted while this VM alone holds it, a switch would be lost with this VM after the operator
     // was told that it is in force.
@@ -290,8 +290,8 @@
            zones_of(pending.holders).size() >= settings_.switch_zones;
 }
 
-switch_answer preset_agreement::describe(pending_switch const& pending,
-                                         switch_outcome outcome) const
+switch_answer preset_agreement::make_answer(pending_switch const& pending,
+                                            switch_outcome outcome) const
 {
     switch_answer answer{outcome, stamp_, {}, {}};
     answer.holders.assign(pending.holders.begin(), pending.holders.end());
@@ -309,17 +309,17 @@
     return answer;
 }
 
-void preset_agreement::settle_switches(state::time_point now, control_actions& actions)
+void preset_agreement::resolve_switches(state::time_point now, control_actions& actions)
 {
     auto const settled = [&](pending_switch const& each)
     {
-        state::duration const waited = now - each.since;
+        state::duration const waited = now - each.received_at;
         switch_outcome outcome = switch_outcome::not_accepted;
         if (stamp_ != each.stamp)
         {
             outcome = switch_outcome::superseded;
         }
-        else if (is_held(each) && waited >= settings_.switch_settle)
+        else if (has_enough_holders(each) && waited >= settings_.switch_settle)
         {
             outcome = switch_outcome::accepted;
         }
@@ -327,27 +327,27 @@
         {
             return false;
         }
-        actions.emplace_back(answer_operator{each.exchange, describe(each, outcome)});
+        actions.emplace_back(answer_operator{each.exchange, make_answer(each, outcome)});
         return true;
     };
     std::erase_if(pending_, settled);
 }
 
-std::vector<state::member> preset_agreement::members_to_ask(state::time_point now)
+std::vector<state::member> preset_agreement::members_to_poll(state::time_point now)
 {
     std::vector<state::member> result;
-    if (pending_.empty() || now < next_ask_)
+    if (pending_.empty() || now < next_poll_at_)
     {
         return result;
     }
-    next_ask_ = now + ask_interval;
-    std::map<state::zone_id, std::size_t> asked;
+    next_poll_at_ = now + poll_interval;
+    std::map<state::zone_id, std::size_t> polled;
     std::set<state::node_id> const& holders = pending_.back().holders;
     for (state::member_entry const& entry : members_.entries())
     {
         state::member const& info = entry.info;
-        bool const useful = info.id != self_.id && lives(info) && holders.count(info.id) == 0;
-        if (useful && asked[info.zone]++ < asked_in_zone)
+        bool const useful = info.id != self_.id && is_not_dead(info) && holders.count(info.id) == 0;
+        if (useful && polled[info.zone]++ < polls_per_zone)
         {
             result.push_back(info);
         }
@@ -369,26 +369,26 @@
     reader_.advance(is_reader, now, actions);
     exchange_.advance(now, actions);
     check_caught_up(now);
-    settle_switches(now, actions);
+    resolve_switches(now, actions);
 }
 
 state::time_point preset_agreement::next_deadline() const noexcept
 {
     state::time_point next = std::min(reader_.next_deadline(), exchange_.next_deadline());
-    if (!caught_up_ && (service_read_ || had_memory_))
+    if (!caught_up_ && (service_read_ || was_caught_up_))
     {
         next = std::min(next, catch_up_ends_);
     }
     for (pending_switch const& each : pending_)
     {
-        next = std::min({next, next_ask_, each.since + settings_.switch_wait});
+        next = std::min({next, next_poll_at_, each.received_at + settings_.switch_wait});
     }
     return next;
 }
 
-bool preset_agreement::take_news() noexcept
+bool preset_agreement::take_update_pending() noexcept
 {
-    return std::exchange(news_, false);
+    return std::exchange(update_pending_, false);
 }
 
 } // namespace plumdale::coordination
--- a/src/coordination/progress_timeout.cpp
+++ b/src/coordination/progress_timeout.cpp
@@ -12,7 +12,7 @@
 constexpr int deviation_weight = 4;
 constexpr int deviation_factor = 8;
 
-void time_estimate::note(state::duration measured) noexcept
+void duration_estimator::note(state::duration measured) noexcept
 {
     if (!std::exchange(measured_, true))
     {
@@ -25,8 +25,8 @@
     mean_ += (measured - mean_) / mean_weight;
 }
 
-state::duration time_estimate::plausible(state::duration shortest,
-                                         state::duration longest) const noexcept
+state::duration duration_estimator::upper_bound(state::duration shortest,
+                                                state::duration longest) const noexcept
 {
     if (!measured_)
     {
@@ -51,9 +51,9 @@
     last_ = state::never;
 }
 
-state::duration progress_timeout::allowed(progress_bounds const& bounds) const noexcept
+state::duration progress_timeout::timeout(progress_timeout_bounds const& bounds) const noexcept
 {
-    return started_ ? gap_.plausible(bounds.shortest, bounds.longest) : bounds.first;
+    return started_ ? gap_.upper_bound(bounds.shortest, bounds.longest) : bounds.first;
 }
 
 } // namespace plumdale::coordination
--- a/src/coordination/projected_memory_policy.cpp
+++ b/src/coordination/projected_memory_policy.cpp
@@ -10,39 +10,39 @@
 constexpr auto relaxed = std::memory_order_relaxed;
 
 /// Keys of customer, model and kind that a shard keeps lengths of: 4 MB when full.
-constexpr std::size_t length_keys = 8192;
+constexpr std::size_t max_length_keys = 8192;
 /// Output tokens after which a stream's forecast is made anew.
 constexpr std::uint32_t tokens_per_update = 16;
 /// The longest output that a customer's share is charged for in advance.
-constexpr double longest_charge = 16'384.0;
+constexpr double max_charged_tokens = 16'384.0;
 /// Engines looked at for one request; the emptiest is taken. With all of them looked at, every
 /// entry VM would send to the same engine until the next report.
-constexpr std::size_t engines_looked_at = 3;
+constexpr std::size_t sampled_engines = 3;
 /// Engines looked at when none of those has room; a full zone is not searched for each request.
-constexpr std::size_t engines_searched = 24;
+constexpr std::size_t max_engines_searched = 24;
 /// A warm prefix outweighs this much of an engine's memory.
 constexpr double warm_bonus = 0.1;
 /// Parts of the limit for a customer that is over its fair share. What is left above them goes to
 /// the others: their drafts come before its questions, and its questions before its drafts.
-constexpr double over_share_drafts = 0.85;
-constexpr double over_share_questions = 0.95;
+constexpr double over_share_draft_fraction = 0.85;
+constexpr double over_share_question_fraction = 0.95;
 /// How long a question may wait here for room: most of the time to its first token is the engine's.
-constexpr state::duration question_wait = std::chrono::milliseconds{250};
+constexpr state::duration max_question_wait = std::chrono::milliseconds{250};
 constexpr state::duration refresh_interval = std::chrono::milliseconds{100};
 constexpr state::duration shares_interval = std::chrono::milliseconds{500};
 /// Centre of the time after which a waiting request is looked at again; spread, so that entry VMs
 /// don't all see the same free room at the same moment.
-constexpr state::duration ask_again_interval = std::chrono::milliseconds{100};
+constexpr state::duration reevaluation_interval = std::chrono::milliseconds{100};
 /// How long the limit counts as met after a draft found no room.
 constexpr state::duration binding_time = std::chrono::seconds{5};
 /// Time in which an engine that was first seen just now comes to its full batch.
-constexpr state::duration slow_start = std::chrono::seconds{10};
+constexpr state::duration slow_start_time = std::chrono::seconds{10};
 /// Failures in a row after which an engine gets one stream at a time.
-constexpr std::uint32_t many_failures = 3;
+constexpr std::uint32_t failure_threshold = 3;
 
-bool has_failed(dispatch_question const& question, state::upstream_id id)
+bool has_failed(dispatch_attempt const& attempt, state::upstream_id id)
 {
-    return std::find(question.failed.begin(), question.failed.end(), id) != question.failed.end();
+    return std::find(attempt.failed.begin(), attempt.failed.end(), id) != attempt.failed.end();
 }
 
 std::uint32_t live_entry_vms(fleet_snapshot const& fleet)
@@ -58,10 +58,11 @@
 
 } // namespace
 
-projected_memory_policy::projected_memory_policy(decider_place place, subset_limits limits,
+projected_memory_policy::projected_memory_policy(entry_vm_placement placement, subset_limits limits,
                                                  std::uint64_t seed)
-    : place_{place}, random_{static_cast<std::minstd_rand::result_type>(seed % 0x7ffffffeU + 1)},
-      lengths_{length_keys}, directory_{place.node, place.zone, limits}
+    : placement_{placement}, random_{static_cast<std::minstd_rand::result_type>(seed % 0x7ffffffeU +
+                                                                                1)},
+      lengths_{max_length_keys}, directory_{placement.node, placement.zone, limits}
 {
 }
 
@@ -78,7 +79,7 @@
 
 // -- learning -------------------------------------------------------------------------------------
 
-void projected_memory_policy::refresh(model_load& model, fleet_snapshot const& fleet,
+void projected_memory_policy::refresh(model_state& model, fleet_snapshot const& fleet,
                                       state::model_id id, zone_split const& engines,
                                       state::time_point now)
 {
@@ -89,7 +90,7 @@
         if (fleet.version == 0 || fleet.version != shares_version_)
         {
             shares_version_ = fleet.version;
-            shares_.use(fleet.customers, entry_vms_ * place_.shards);
+            shares_.configure(fleet.customers, entry_vms_ * placement_.shards);
         }
         shares_.refresh(now);
     }
@@ -99,10 +100,10 @@
     }
     model.next_refresh = now + refresh_interval;
     max_batch_ = fleet.preset.max_batch;
-    model.limit.use(fleet.preset);
+    model.limit.configure(fleet.preset);
     double const seen = static_cast<double>(engines.all.size());
     double const total = static_cast<double>(fleet.upstreams_of(id).size());
-    double const deciders = static_cast<double>(entry_vms_ * place_.shards);
+    double const deciders = static_cast<double>(entry_vms_ * placement_.shards);
     double const sharing = std::max(1.0, deciders * seen / total);
     model.book.refresh(engines.all, sharing, fleet.preset.horizon, now);
     model.limit.learn(new_preemptions(model, engines.all), model.answers * sharing, seen,
@@ -110,7 +111,7 @@
     model.answers = 0;
 }
 
-double projected_memory_policy::new_preemptions(model_load& model,
+double projected_memory_policy::new_preemptions(model_state& model,
                                                 std::span<upstream_view const* const> engines)
 {
     std::uint64_t sum = 0;
@@ -130,74 +131,75 @@
 
 // -- deciding -------------------------------------------------------------------------------------
 
-dispatch_decision projected_memory_policy::decide(dispatch_question const& question,
+dispatch_decision projected_memory_policy::decide(dispatch_attempt const& attempt,
                                                   fleet_snapshot const& fleet,
                                                   state::time_point now)
 {
-    if (now >= question.request.deadline)
+    if (now >= attempt.request.deadline)
     {
         return refuse(state::error_kind::deadline_not_run, fleet.preset.retry_after);
     }
-    zone_split const upstreams = directory_.select(fleet, question.request.model);
+    zone_split const upstreams = directory_.select(fleet, attempt.request.model);
     if (upstreams.all.empty())
     {
         return refuse(state::error_kind::no_upstream, fleet.preset.retry_after);
     }
-    if (question.starts == 0 && question.received == now)
+    if (attempt.previous_starts == 0 && attempt.received == now)
     {
         retries_.first_attempt(fleet.preset.retry_percent);
     }
-    if (question.starts > 0 && !retries_.available())
+    if (attempt.previous_starts > 0 && !retries_.available())
     {
         ++counts_.refused_retry;
         return refuse(state::error_kind::overloaded, fleet.preset.retry_after);
     }
     dispatch_decision const decision =
-        question.request.kind == state::work_kind::call
-            ? decide_call(question, upstreams, fleet.preset.retry_after)
-            : decide_generation(question, fleet, upstreams, now);
-    if (question.starts > 0 && decision.verdict == dispatch_verdict::dispatch)
+        attempt.request.kind == state::work_kind::call
+            ? decide_call(attempt, upstreams, fleet.preset.retry_after)
+            : decide_generation(attempt, fleet, upstreams, now);
+    if (attempt.previous_starts > 0 && decision.verdict == dispatch_verdict::dispatch)
     {
         retries_.take();
     }
     return decision;
 }
 
-dispatch_decision projected_memory_policy::decide_generation(dispatch_question const& question,
+dispatch_decision projected_memory_policy::decide_generation(dispatch_attempt const& attempt,
                                                              fleet_snapshot const& fleet,
                                                              zone_split const& engines,
                                                              state::time_point now)
 {
-    state::request const& request = question.request;
-    model_load& model = models_.try_emplace(request.model, lengths_).first->second;
+    state::request const& request = attempt.request;
+    model_state& model = models_.try_emplace(request.model, lengths_).first->second;
     refresh(model, fleet, request.model, engines, now);
 
     auto const cell = lengths_.open({request.customer, request.model, request.kind});
-    search found{question, model,
-                 model.book.forecast(cell, 0, request.prompt_tokens, request.max_tokens)};
-    if (question.starts == 0 && question.received == now)
+    engine_search found{attempt, model,
+                        model.book.forecast(cell, 0, request.prompt_tokens, request.max_tokens)};
+    if (attempt.previous_starts == 0 && attempt.received == now)
     {
-        shares_.asked(request.customer, request.kind,
-                      request.prompt_tokens + lengths_.expected_remaining(cell, 0, longest_charge));
+        shares_.requested(request.customer, request.kind,
+                          request.prompt_tokens +
+                              lengths_.expected_remaining(cell, 0, max_charged_tokens));
     }
     lengths_.close(cell);
 
-    customer_standing const standing = shares_.standing(request.customer, request.kind);
-    if (standing == customer_standing::over_limit)
+    share_status const status = shares_.status(request.customer, request.kind);
+    if (status == share_status::over_limit)
     {
         ++counts_.refused_limit;
         return refuse(state::error_kind::over_customer_limit, fleet.preset.retry_after);
     }
-    if (standing == customer_standing::over_share)
+    if (status == share_status::over_share)
     {
         bool const draft = request.kind == state::work_kind::draft;
-        found.share = draft ? over_share_drafts : over_share_questions;
+        found.limit_fraction = draft ? over_share_draft_fraction : over_share_question_fraction;
     }
     found.warm = hints_.find(request.prefix);
-    look(found, engines.own_zone, now);
+    scan(found, engines.own_zone, now);
     if (found.best == nullptr)
     {
-        look(found, engines.other_zones, now);
+        scan(found, engines.other_zones, now);
     }
     if (found.best == nullptr)
     {
@@ -205,7 +207,7 @@
         {
             model.binding_until = now + binding_time;
         }
-        return no_room(found, fleet.preset, now);
+        return wait_or_refuse(found, fleet.preset, now);
     }
     count_route(found, engines);
     dispatch_decision decision;
@@ -214,7 +216,8 @@
     return decision;
 }
 
-void projected_memory_policy::look(search& found, std::span<upstream_view const* const> engines,
+void projected_memory_policy::scan(engine_search& found,
+                                   std::span<upstream_view const* const> engines,
                                    state::time_point now)
 {
     if (engines.empty())
@@ -228,34 +231,34 @@
                                        { return each->info.id == found.warm; });
         if (warm != engines.end())
         {
-            consider(found, **warm, now);
+            evaluate(found, **warm, now);
         }
     }
     std::size_t const first = random_() % engines.size();
     std::size_t const stride = engines.size() > 2 ? 1 + random_() % (engines.size() - 1) : 1;
     std::size_t at = first;
-    for (std::size_t i = 0; i < std::min(engines_looked_at, engines.size()); ++i)
+    for (std::size_t i = 0; i < std::min(sampled_engines, engines.size()); ++i)
     {
-        consider(found, *engines[at], now);
+        evaluate(found, *engines[at], now);
         at = (at + stride) % engines.size();
     }
     // None of the few has room: any other one will do.
-    std::size_t const most = std::min(engines_searched, engines.size());
+    std::size_t const most = std::min(max_engines_searched, engines.size());
     for (std::size_t i = 0; i < most && found.best == nullptr; ++i)
     {
-        consider(found, *engines[(first + i) % engines.size()], now);
+        evaluate(found, *engines[(first + i) % engines.size()], now);
     }
 }
 
 bool projected_memory_policy::usable(upstream_gauge const& gauge, state::time_point now) const
 {
     std::uint32_t const own = gauge.in_flight.load(relaxed);
-    if (gauge.failures.load(relaxed) >= many_failures)
+    if (gauge.consecutive_failures.load(relaxed) >= failure_threshold)
     {
         return own == 0;
     }
     auto const age = now.time_since_epoch().count() - gauge.first_seen.load(relaxed);
-    auto const ramp = slow_start.count();
+    auto const ramp = slow_start_time.count();
     if (age < ramp)
     {
         // An engine that came back empty looks best to every entry VM at once; each takes its part
@@ -267,24 +270,24 @@
     return true;
 }
 
-void projected_memory_policy::consider(search& found, upstream_view const& view,
+void projected_memory_policy::evaluate(engine_search& found, upstream_view const& view,
                                        state::time_point now) const
 {
     upstream_gauge const& gauge = *view.gauge;
-    if (has_failed(found.question, view.info.id) || !usable(gauge, now))
+    if (has_failed(found.attempt, view.info.id) || !usable(gauge, now))
     {
         return;
     }
     engine_forecast const engine = found.model.book.forecast(gauge, now);
-    room const against =
-        found.model.limit.check(engine, found.wanted, found.question.request.kind, found.share);
-    found.batch_full |= against == room::batch_full;
-    if (against != room::free)
+    capacity_status const against = found.model.limit.check(
+        engine, found.demand, found.attempt.request.kind, found.limit_fraction);
+    found.batch_full |= against == capacity_status::batch_full;
+    if (against != capacity_status::free)
     {
         return;
     }
     bool const warm = view.info.id == found.warm;
-    double const fill = found.model.limit.fill(engine, found.wanted) - (warm ? warm_bonus : 0.0);
+    double const fill = found.model.limit.fill(engine, found.demand) - (warm ? warm_bonus : 0.0);
     if (found.best == nullptr || fill < found.best_fill)
     {
         found.best = &view;
@@ -293,10 +296,10 @@
     }
 }
 
-void projected_memory_policy::count_route(search const& found, zone_split const& engines)
+void projected_memory_policy::count_route(engine_search const& found, zone_split const& engines)
 {
     counts_.warm_prefix += found.best_is_warm ? 1 : 0;
-    if (found.best->info.zone == place_.zone)
+    if (found.best->info.zone == placement_.zone)
     {
         ++counts_.own_zone;
     }
@@ -306,13 +309,13 @@
     }
     else
     {
-        ++counts_.spilled_no_room;
+        ++counts_.spilled_no_capacity;
     }
 }
 
-dispatch_decision projected_memory_policy::decide_call(dispatch_question const& question,
+dispatch_decision projected_memory_policy::decide_call(dispatch_attempt const& attempt,
                                                        zone_split const& services,
-                                                       state::duration centre)
+                                                       state::duration mean_delay)
 {
     dispatch_decision decision;
     std::uint32_t fewest = UINT32_MAX;
@@ -321,8 +324,9 @@
         for (upstream_view const* const each : zone)
         {
             std::uint32_t const own = each->gauge->in_flight.load(relaxed);
-            bool const broken = each->gauge->failures.load(relaxed) >= many_failures && own > 0;
-            if (own < fewest && !broken && !has_failed(question, each->info.id))
+            bool const broken =
+                each->gauge->consecutive_failures.load(relaxed) >= failure_threshold && own > 0;
+            if (own < fewest && !broken && !has_failed(attempt, each->info.id))
             {
                 fewest = own;
                 decision.upstream = each;
@@ -334,43 +338,47 @@
             return decision;
         }
     }
-    return refuse(state::error_kind::no_upstream, centre);
+    return refuse(state::error_kind::no_upstream, mean_delay);
 }
 
-dispatch_decision projected_memory_policy::no_room(search const& found, state::preset const& preset,
-                                                   state::time_point now)
+dispatch_decision projected_memory_policy::wait_or_refuse(engine_search const& found,
+                                                          state::preset const& preset,
+                                                          state::time_point now)
 {
-    bool const draft = found.question.request.kind == state::work_kind::draft;
+    bool const draft = found.attempt.request.kind == state::work_kind::draft;
     state::time_point const until =
-        std::min(found.question.received + (draft ? preset.draft_wait : question_wait),
-                 found.question.request.deadline);
-    auto const pause = std::chrono::duration_cast<state::duration>(ask_again_interval * spread());
+        std::min(found.attempt.received + (draft ? preset.draft_wait : max_question_wait),
+                 found.attempt.request.deadline);
+    auto const pause =
+        std::chrono::duration_cast<state::duration>(reevaluation_interval * jitter_factor());
     if (now + pause <= until)
     {
         dispatch_decision decision;
         decision.verdict = dispatch_verdict::wait;
-        decision.ask_again = now + pause;
+        decision.reevaluate_at = now + pause;
         return decision;
     }
-    bool const over_share = found.share < 1.0;
+    bool const over_share = found.limit_fraction < 1.0;
     ++(over_share         ? counts_.refused_share
        : found.batch_full ? counts_.refused_batch
                           : counts_.refused_memory);
     return refuse(state::error_kind::overloaded, preset.retry_after);
 }
 
-double projected_memory_policy::spread()
+double projected_memory_policy::jitter_factor()
 {
     return std::uniform_real_distribution<double>{0.5, 1.5}(random_);
 }
 
-dispatch_decision projected_memory_policy::refuse(state::error_kind kind, state::duration centre)
+dispatch_decision projected_memory_policy::refuse(state::error_kind kind,
+                                                  state::duration mean_delay)
 {
     dispatch_decision decision;
     decision.verdict = dispatch_verdict::refuse;
     decision.kind = kind;
     // Spread, so that what was refused together doesn't come back together.
-    decision.retry_after = std::chrono::duration_cast<state::duration>(centre * spread());
+    decision.retry_after =
+        std::chrono::duration_cast<state::duration>(mean_delay * jitter_factor());
     return decision;
 }
 
@@ -392,21 +400,21 @@
         each.draft = request.kind == state::work_kind::draft;
         each.prompt = request.prompt_tokens;
         each.max_tokens = request.max_tokens;
-        each.expected = each.prompt + lengths_.expected_remaining(each.cell, 0, longest_charge);
+        each.expected = each.prompt + lengths_.expected_remaining(each.cell, 0, max_charged_tokens);
         shares_.granted(each.customer, each.expected);
         hints_.stored(request.prefix, upstream.info.id);
-        update(each, now);
+        update_forecast(each, now);
     }
     streams_.insert_or_assign(handle, std::move(each));
 }
 
-void projected_memory_policy::update(stream& each, state::time_point now)
+void projected_memory_policy::update_forecast(stream& each, state::time_point now)
 {
-    if (each.tokens > each.counted)
+    if (each.tokens > each.counted_tokens)
     {
-        lengths_.advance(each.cell, each.counted, each.tokens);
-        each.model->book.count_tokens(each.tokens - each.counted);
-        each.counted = each.tokens;
+        lengths_.advance(each.cell, each.counted_tokens, each.tokens);
+        each.model->book.count_tokens(each.tokens - each.counted_tokens);
+        each.counted_tokens = each.tokens;
     }
     std::uint32_t const held = each.prompt + each.tokens;
     load_forecast forecast =
@@ -418,8 +426,8 @@
         forecast.mean.fill(held);
         forecast.variance.fill(0.0);
     }
-    stream_load const load = load_book::rounded(held, forecast);
-    load_book::replace(*each.gauge, each.load, load, now);
+    stream_load const load = load_forecaster::rounded(held, forecast);
+    load_forecaster::update_gauge(*each.gauge, each.load, load, now);
     each.load = load;
 }
 
@@ -434,12 +442,12 @@
     stream& each = found->second;
     if (each.tokens == 0)
     {
-        each.gauge->failures.store(0, relaxed);
+        each.gauge->consecutive_failures.store(0, relaxed);
     }
     each.tokens = index + 1;
     if (each.model != nullptr && each.tokens % tokens_per_update == 0)
     {
-        update(each, now);
+        update_forecast(each, now);
     }
 }
 
@@ -455,29 +463,29 @@
     each.gauge->in_flight.fetch_sub(1, relaxed);
     if (outcome == stream_outcome::failed)
     {
-        each.gauge->failures.fetch_add(1, relaxed);
+        each.gauge->consecutive_failures.fetch_add(1, relaxed);
     }
     if (each.model != nullptr)
     {
-        lengths_.advance(each.cell, each.counted, tokens);
+        lengths_.advance(each.cell, each.counted_tokens, tokens);
         if (outcome == stream_outcome::finished && tokens > 0)
         {
             lengths_.finish(each.cell, tokens);
             ++each.model->answers;
         }
         lengths_.close(each.cell);
-        load_book::replace(*each.gauge, each.load, {}, now);
+        load_forecaster::update_gauge(*each.gauge, each.load, {}, now);
         shares_.ended(each.customer, each.expected, each.prompt + tokens);
     }
     streams_.erase(found);
 }
 
 std::function<std::unique_ptr<dispatch_policy>(std::uint32_t)>
-projected_memory_factory(decider_place place, std::uint64_t seed)
+projected_memory_factory(entry_vm_placement placement, std::uint64_t seed)
 {
-    return [place, seed](std::uint32_t shard) -> std::unique_ptr<dispatch_policy>
+    return [placement, seed](std::uint32_t shard) -> std::unique_ptr<dispatch_policy>
     {
-        return std::make_unique<projected_memory_policy>(place, subset_limits{},
+        return std::make_unique<projected_memory_policy>(placement, subset_limits{},
                                                          state::mix(seed, shard));
     };
 }
--- a/src/coordination/relay_desk.hpp
+++ b/src/coordination/relay_coordinator.hpp
@@ -15,19 +15,19 @@
 {
 
 /// \brief The relaying side: checks what the owner sends, and reads the engine when the owner dies.
-class relay_desk
+class relay_coordinator
 {
 public:
-    relay_desk(shard_core& core, generation_owner& owner);
+    relay_coordinator(shard_core& core, generation_owner& owner);
 
     /// \brief Passes a request to `node`.
     void start(state::caller_handle caller, state::request const& request,
                state::member const& node);
 
     [[nodiscard]] bool has(state::caller_handle caller) const noexcept;
-    void caller_left(state::caller_handle caller);
-    void caller_is_blocked(state::caller_handle caller);
-    void caller_is_ready(state::caller_handle caller);
+    void on_caller_disconnected(state::caller_handle caller);
+    void on_caller_blocked(state::caller_handle caller);
+    void on_caller_ready(state::caller_handle caller);
 
     void on(relay_head const& event);
     void on(relay_token const& event);
@@ -35,8 +35,8 @@
     void on(relay_refused const& event);
     void on(relay_failed const& event);
 
-    void on_due(state::caller_handle caller);
-    void forgive_silence();
+    void on_deadline(state::caller_handle caller);
+    void reset_silence_timers();
 
 private:
     struct relay
@@ -50,21 +50,21 @@
         state::upstream_id upstream;
         std::uint32_t next_index = 0;
         bool head_sent = false;
-        bool asked_again = false;
+        bool owner_retried = false;
         progress_timeout gaps;
-        state::time_point quiet_since{};
+        state::time_point silent_since{};
         state::time_point blocked_since = state::never;
-        state::time_point armed = state::never;
+        state::time_point timer_at = state::never;
     };
 
     [[nodiscard]] relay* find(state::caller_handle caller);
-    [[nodiscard]] bool expects(relay& waiting, state::generation_id const& id);
-    void ask_again(relay& waiting);
-    void recover(relay& waiting, bool sent);
-    void refuse(relay& waiting, state::error_kind kind);
+    [[nodiscard]] bool expects(relay& pending, state::generation_id const& id);
+    void retry_owner(relay& pending);
+    void recover(relay& pending, bool sent);
+    void refuse(relay& pending, state::error_kind kind);
     void erase(state::caller_handle caller);
-    [[nodiscard]] state::time_point due_at(relay const& waiting) const;
-    void arm(relay& waiting);
+    [[nodiscard]] state::time_point due_at(relay const& pending) const;
+    void arm_timer(relay& pending);
 
     shard_core& core_;
     generation_owner& owner_;
--- a/src/coordination/request_quarantine.cpp
+++ b/src/coordination/request_quarantine.cpp
@@ -10,19 +10,19 @@
 
 void answered_requests::note(state::request_digest request, state::time_point now)
 {
-    if (now >= turned_at_ + kept || newer_.size() >= capacity)
+    if (now >= rotated_at_ + retention || newer_.size() >= capacity)
     {
         older_ = std::move(newer_);
         newer_.clear();
-        turned_at_ = now;
+        rotated_at_ = now;
     }
     newer_.insert(request);
 }
 
 bool answered_requests::contains(state::request_digest request, state::time_point now) const
 {
-    bool const newer_counts = now < turned_at_ + 2 * kept;
-    bool const older_counts = now < turned_at_ + kept;
+    bool const newer_counts = now < rotated_at_ + 2 * retention;
+    bool const older_counts = now < rotated_at_ + retention;
     return (newer_counts && newer_.contains(request)) || (older_counts && older_.contains(request));
 }
 
@@ -39,14 +39,14 @@
     }
     // Where a zone is cut off all calls to it end together, at all VMs: told at once, they would
     // fill all links. What isn't told counts here.
-    if (now >= telling_since_ + std::chrono::seconds{1})
+    if (now >= report_window_start_ + std::chrono::seconds{1})
     {
-        telling_since_ = now;
-        told_ = 0;
+        report_window_start_ = now;
+        reported_in_window_ = 0;
     }
-    if (++told_ <= most_told_per_second)
+    if (++reported_in_window_ <= max_reports_per_second)
     {
-        untold_.push_back({request, member, {}});
+        unreported_.push_back({request, member, {}});
     }
     return true;
 }
@@ -58,42 +58,42 @@
     {
         return false;
     }
-    untold_.push_back({request, {}, {}});
+    unreported_.push_back({request, {}, {}});
     return true;
 }
 
-bool request_quarantine::hear(request_evidence const& told, state::time_point now)
+bool request_quarantine::apply_update(request_evidence const& reported, state::time_point now)
 {
-    bool const is_old = told.age >= (told.ended ? lifetime : answered_requests::kept);
-    if (is_old || !told.request)
+    bool const is_old = reported.age >= (reported.ended ? lifetime : answered_requests::retention);
+    if (is_old || !reported.request)
     {
         return false;
     }
-    if (!told.ended)
+    if (!reported.ended)
     {
         // One peer that speaks for it is enough.
-        std::erase_if(untold_, [&told](request_evidence const& each)
-                      { return each.request == told.request; });
-        answered_.note(told.request, now);
-        return clear(told.request);
+        std::erase_if(unreported_, [&reported](request_evidence const& each)
+                      { return each.request == reported.request; });
+        answered_.note(reported.request, now);
+        return clear(reported.request);
     }
-    if (answered_.contains(told.request, now))
+    if (answered_.contains(reported.request, now))
     {
-        untold_.push_back({told.request, {}, {}});
+        unreported_.push_back({reported.request, {}, {}});
         return false;
     }
-    return add(told.request, told.ended, now - told.age);
+    return add(reported.request, reported.ended, now - reported.age);
 }
 
 bool request_quarantine::add(state::request_digest request, state::member_key member,
-                             state::time_point seen)
+                             state::time_point last_seen)
 {
     if (!suspects_.contains(request) && suspects_.size() >= capacity)
     {
-        make_room();
+        evict_one();
     }
     suspect& row = suspects_[request];
-    row.seen = std::max(row.seen, seen);
+    row.last_seen = std::max(row.last_seen, last_seen);
     auto const end = row.ended.begin() + static_cast<std::ptrdiff_t>(row.count);
     bool const is_known = std::find(row.ended.begin(), end, member) != end;
     if (is_known || is_refused(row))
@@ -120,14 +120,15 @@
 }
 
 // The least is lost with one under which a single upstream ended long ago.
-void request_quarantine::make_room()
-{
-    auto const least = std::min_element(suspects_.begin(), suspects_.end(),
-                                        [](auto const& one, auto const& other)
-                                        {
-                                            return std::pair{one.second.count, one.second.seen} <
-                                                   std::pair{other.second.count, other.second.seen};
-                                        });
+void request_quarantine::evict_one()
+{
+    auto const least =
+        std::min_element(suspects_.begin(), suspects_.end(),
+                         [](auto const& one, auto const& other)
+                         {
+                             return std::pair{one.second.count, one.second.last_seen} <
+                                    std::pair{other.second.count, other.second.last_seen};
+                         });
     clear(least->first);
 }
 
@@ -143,7 +144,7 @@
     std::vector<state::request_digest> old;
     for (auto const& [request, row] : suspects_)
     {
-        if (now >= row.seen + lifetime)
+        if (now >= row.last_seen + lifetime)
         {
             old.push_back(request);
         }
@@ -163,7 +164,7 @@
     {
         return false;
     }
-    suspects_.find(request)->second.seen = now;
+    suspects_.find(request)->second.last_seen = now;
     return true;
 }
 
@@ -172,17 +173,17 @@
 {
     auto const found = suspects_.find(request);
     bool const is_known = found != suspects_.end() && is_refused(found->second);
-    return is_known ? std::max(state::duration::zero(), found->second.seen + lifetime - now)
+    return is_known ? std::max(state::duration::zero(), found->second.last_seen + lifetime - now)
                     : state::duration::zero();
 }
 
-std::size_t request_quarantine::ended_under(state::request_digest request) const
+std::size_t request_quarantine::ended_upstream_count(state::request_digest request) const
 {
     auto const found = suspects_.find(request);
     return found == suspects_.end() ? 0 : found->second.count;
 }
 
-std::size_t request_quarantine::refused() const
+std::size_t request_quarantine::refused_count() const
 {
     return static_cast<std::size_t>(std::count_if(suspects_.begin(), suspects_.end(),
                                                   [](auto const& each)
@@ -191,21 +192,21 @@
 
 // -- telling --------------------------------------------------------------------------------------
 
-std::vector<request_evidence> request_quarantine::untold()
+std::vector<request_evidence> request_quarantine::unreported()
 {
-    return std::exchange(untold_, {});
+    return std::exchange(unreported_, {});
 }
 
-std::vector<request_evidence> request_quarantine::evidence(std::size_t most,
+std::vector<request_evidence> request_quarantine::evidence(std::size_t max_count,
                                                            state::time_point now) const
 {
     std::vector<request_evidence> found;
     for (auto const& [request, row] : suspects_)
     {
-        bool const fits = is_refused(row) && found.size() + row.count <= most;
+        bool const fits = is_refused(row) && found.size() + row.count <= max_count;
         for (std::size_t i = 0; fits && i < row.count; ++i)
         {
-            found.push_back({request, row.ended[i], now - row.seen});
+            found.push_back({request, row.ended[i], now - row.last_seen});
         }
     }
     return found;
--- a/src/coordination/request_shard.cpp
+++ b/src/coordination/request_shard.cpp
@@ -1,7 +1,7 @@
 #include "generation_owner.hpp"
-#include "key_desk.hpp"
-#include "pause_watch.hpp"
-#include "relay_desk.hpp"
+#include "key_resolver.hpp"
+#include "pause_detector.hpp"
+#include "relay_coordinator.hpp"
 #include "shard_core.hpp"
 
 #include <plumdale/coordination/request_shard.hpp>
@@ -19,7 +19,7 @@
 
 attached_caller caller_of(request_received const& event)
 {
-    bool const reads_on = event.request.what == state::operation::attach && event.request.streamed;
+    bool const reads_on = event.request.op == state::operation::attach && event.request.streamed;
     return {event.caller, static_cast<bool>(event.relayed_by), event.request.streamed,
             reads_on ? event.request.next_index : 0, event.request.deadline};
 }
@@ -35,7 +35,7 @@
     implementation(shard_context const& context, std::uint32_t index,
                    std::unique_ptr<dispatch_policy> policy)
         : core_{context, index}, policy_{std::move(policy)}, owner_{core_, *policy_},
-          relays_{core_, owner_}, keys_{core_}
+          relays_{core_, owner_}, key_resolver_{core_}
     {
     }
 
@@ -43,19 +43,19 @@
     {
         core_.now = now;
         core_.actions = &actions;
-        if (pauses_.late(next_deadline()))
+        if (pause_detector_.detects_pause(next_deadline()))
         {
             on(process_paused{});
         }
-        pauses_.tick();
-        look_at_fleet();
+        pause_detector_.tick();
+        refresh_fleet();
         std::visit([this](auto const& each) { on(each); }, event);
         core_.actions = nullptr;
     }
 
     [[nodiscard]] state::time_point next_deadline() const
     {
-        return std::min(pauses_.next_tick(), core_.deadlines.next());
+        return std::min(pause_detector_.next_tick(), core_.deadlines.next());
     }
 
     [[nodiscard]] delivery_counts const& counts() const noexcept
@@ -85,13 +85,13 @@
         }
         state::generation_id const& id = event.request.generation;
         bool const genuine =
-            !id || core_.context.signer.verify(id) || !core_.guarded(safeguard::identity_mac);
+            !id || core_.context.signer.verify(id) || !core_.enabled(safeguard::identity_mac);
         if (!genuine)
         {
             return core_.refuse(event.caller, error_kind::invalid_request, {});
         }
-        bool const begins = event.request.what <= state::operation::reserve;
-        if (begins && core_.on_hold() && core_.guarded(safeguard::pause_recheck))
+        bool const begins = event.request.op <= state::operation::reserve;
+        if (begins && core_.on_hold() && core_.enabled(safeguard::pause_recheck))
         {
             // It may have lain in a buffer for as long as the process was paused.
             return core_.refuse(event.caller, error_kind::not_ready);
@@ -102,26 +102,26 @@
     void route(request_received const& event)
     {
         state::request const& request = event.request;
-        if (request.generation && request.what != state::operation::reserve)
+        if (request.generation && request.op != state::operation::reserve)
         {
-            return route_identity(event);
+            return route_by_identity(event);
         }
-        if (request.what == state::operation::attach || request.what == state::operation::cancel)
+        if (request.op == state::operation::attach || request.op == state::operation::cancel)
         {
             return core_.refuse(event.caller, error_kind::unknown_generation, {});
         }
-        if (request.key && !request.repeatable && request.what == state::operation::run)
+        if (request.key && !request.repeatable && request.op == state::operation::run)
         {
-            return route_key(event);
+            return route_by_key(event);
         }
-        if (admits(event))
+        if (admit(event))
         {
             begin(event);
         }
     }
 
     /// \brief Refuses what may not begin here now; returns whether it may.
-    [[nodiscard]] bool admits(request_received const& event)
+    [[nodiscard]] bool admit(request_received const& event)
     {
         fleet_snapshot const& fleet = core_.view();
         if (fleet.draining)
@@ -129,7 +129,7 @@
             core_.refuse(event.caller, error_kind::draining);
             return false;
         }
-        bool const reserves = event.request.what == state::operation::reserve;
+        bool const reserves = event.request.op == state::operation::reserve;
         if (!reserves && fleet.upstreams_of(event.request.model).empty())
         {
             core_.refuse(event.caller, error_kind::unknown_model, {});
@@ -140,7 +140,7 @@
 
     void begin(request_received const& event)
     {
-        if (event.request.what == state::operation::run)
+        if (event.request.op == state::operation::run)
         {
             owner_.accept(caller_of(event), event.request);
             return;
@@ -154,34 +154,34 @@
 
     // Only the process named in an identity dispatches it, once: that is a local property of one
     // process, which no cut, pause or stale view of the members can break.
-    void route_identity(request_received const& event)
+    void route_by_identity(request_received const& event)
     {
         state::generation_id const& id = event.request.generation;
         state::member const& self = core_.settings().self;
-        bool const own = id.owner == self.id && id.uptime == self.uptime;
-        if (!own && !core_.guarded(safeguard::single_owner))
+        bool const own = id.owner == self.id && id.incarnation_number == self.incarnation_number;
+        if (!own && !core_.enabled(safeguard::single_owner))
         {
             owner_.adopt(id, event.request);
-            return decide_here(event);
+            return handle_locally(event);
         }
         if (own)
         {
-            return decide_here(event);
+            return handle_locally(event);
         }
         state::member const* const owner =
             id.owner == self.id ? nullptr : core_.view().find_member(id.owner);
-        bool const alive = owner != nullptr && owner->uptime == id.uptime &&
+        bool const alive = owner != nullptr && owner->incarnation_number == id.incarnation_number &&
                            owner->health != state::member_health::dead;
         if (alive && !event.relayed_by)
         {
             return relay(event, *owner);
         }
-        owner_is_gone(event);
+        handle_missing_owner(event);
     }
 
-    void decide_here(request_received const& event)
+    void handle_locally(request_received const& event)
     {
-        switch (event.request.what)
+        switch (event.request.op)
         {
         case state::operation::run:
             return run_reserved(event);
@@ -196,7 +196,7 @@
 
     void run_reserved(request_received const& event)
     {
-        if (!owner_.is_reserved(event.request.generation) || admits(event))
+        if (!owner_.is_reserved(event.request.generation) || admit(event))
         {
             owner_.run(caller_of(event), event.request);
         }
@@ -204,10 +204,10 @@
 
     // Nothing of this attempt ran; of earlier ones nobody is left who knows. What an engine has
     // can still be read there, which runs nothing.
-    void owner_is_gone(request_received const& event)
+    void handle_missing_owner(request_received const& event)
     {
         state::request const& request = event.request;
-        switch (request.what)
+        switch (request.op)
         {
         case state::operation::attach:
             return owner_.read(caller_of(event), {request.generation, request.upstream_hint},
@@ -216,7 +216,7 @@
             return core_.refuse(event.caller, request.attempt == 1 ? error_kind::owner_unreachable
                                                                    : error_kind::may_have_run);
         case state::operation::cancel:
-            owner_.cancel_elsewhere(request);
+            owner_.cancel_on_upstream(request);
             return core_.refuse(event.caller, error_kind::unknown_generation, {});
         case state::operation::reserve:
             return;
@@ -225,41 +225,41 @@
 
     // -- keys --------------------------------------------------------------------------------
 
-    void route_key(request_received const& event)
+    void route_by_key(request_received const& event)
     {
         key_decision const decision =
-            keys_.decide(event.request, static_cast<bool>(event.relayed_by));
+            key_resolver_.decide(event.request, static_cast<bool>(event.relayed_by));
         switch (decision.verdict)
         {
         case key_verdict::run:
-            return run_key(event);
+            return run_keyed(event);
         case key_verdict::attach:
             return owner_.attach(caller_of(event), decision.generation, event.request);
         case key_verdict::relay:
-            return relay_key(event, decision.home);
+            return relay_to_home(event, decision.home);
         case key_verdict::in_use:
             return core_.refuse(event.caller, error_kind::key_in_use, {}, decision.generation);
         case key_verdict::in_doubt:
             count(core_.counts.in_doubt);
             return core_.refuse(event.caller, error_kind::key_in_doubt);
-        case key_verdict::unheard:
+        case key_verdict::home_unreachable:
             return core_.refuse(event.caller, error_kind::owner_unreachable);
         }
     }
 
-    void run_key(request_received const& event)
+    void run_keyed(request_received const& event)
     {
-        if (!admits(event))
+        if (!admit(event))
         {
             return;
         }
         // Noted before the dispatch, whose refusal clears it again.
         state::generation_id const id = owner_.next_identity();
-        keys_.remember(event.request, id);
+        key_resolver_.remember(event.request, id);
         owner_.accept(caller_of(event), event.request);
     }
 
-    void relay_key(request_received const& event, state::node_id home)
+    void relay_to_home(request_received const& event, state::node_id home)
     {
         state::member const* const node = core_.view().find_member(home);
         if (node == nullptr || node->health == state::member_health::dead)
@@ -271,7 +271,7 @@
 
     void relay(request_received const& event, state::member const& node)
     {
-        bool const begins = event.request.what == state::operation::run;
+        bool const begins = event.request.op == state::operation::run;
         if (begins && core_.view().draining)
         {
             return core_.refuse(event.caller, error_kind::draining);
@@ -281,33 +281,35 @@
 
     // -- callers -----------------------------------------------------------------------------
 
-    void on(caller_gone const& event)
+    void on(caller_disconnected const& event)
     {
-        for_caller(event.caller, &generation_owner::caller_left, &relay_desk::caller_left);
+        forward_caller_event(event.caller, &generation_owner::on_caller_disconnected,
+                             &relay_coordinator::on_caller_disconnected);
     }
 
     void on(caller_blocked const& event)
     {
-        for_caller(event.caller, &generation_owner::caller_is_blocked,
-                   &relay_desk::caller_is_blocked);
+        forward_caller_event(event.caller, &generation_owner::on_caller_blocked,
+                             &relay_coordinator::on_caller_blocked);
     }
 
     void on(caller_ready const& event)
     {
-        for_caller(event.caller, &generation_owner::caller_is_ready, &relay_desk::caller_is_ready);
+        forward_caller_event(event.caller, &generation_owner::on_caller_ready,
+                             &relay_coordinator::on_caller_ready);
     }
 
-    void for_caller(state::caller_handle caller,
-                    void (generation_owner::*of_owner)(state::caller_handle),
-                    void (relay_desk::*of_relays)(state::caller_handle))
+    void forward_caller_event(state::caller_handle caller,
+                              void (generation_owner::*owner_handler)(state::caller_handle),
+                              void (relay_coordinator::*relay_handler)(state::caller_handle))
     {
         if (owner_.has(caller))
         {
-            (owner_.*of_owner)(caller);
+            (owner_.*owner_handler)(caller);
         }
         else if (relays_.has(caller))
         {
-            (relays_.*of_relays)(caller);
+            (relays_.*relay_handler)(caller);
         }
     }
 
@@ -320,7 +322,7 @@
     }
 
     template <class Event>
-    auto on(Event const& event) -> decltype(std::declval<relay_desk&>().on(event))
+    auto on(Event const& event) -> decltype(std::declval<relay_coordinator&>().on(event))
     {
         relays_.on(event);
     }
@@ -329,19 +331,19 @@
 
     void on(process_paused const& /*event*/)
     {
-        pauses_.paused();
-        owner_.forgive_silence();
-        relays_.forgive_silence();
+        pause_detector_.paused();
+        owner_.reset_silence_timers();
+        relays_.reset_silence_timers();
     }
 
-    void look_at_fleet()
+    void refresh_fleet()
     {
         // The version is read first, so that a snapshot published meanwhile shows next time.
-        bool const changed = pauses_.fleet_changed();
-        core_.look();
+        bool const changed = pause_detector_.fleet_changed();
+        core_.refresh_view();
         if (changed)
         {
-            keys_.observe();
+            key_resolver_.observe();
         }
     }
 
@@ -352,11 +354,11 @@
             due_item const item = core_.deadlines.take();
             if (item.relay)
             {
-                relays_.on_due(item.relay);
+                relays_.on_deadline(item.relay);
             }
             else
             {
-                owner_.on_due(item.generation);
+                owner_.on_deadline(item.generation);
             }
         }
     }
@@ -364,9 +366,9 @@
     shard_core core_;
     std::unique_ptr<dispatch_policy> policy_;
     generation_owner owner_;
-    relay_desk relays_;
-    key_desk keys_;
-    pause_watch pauses_{core_};
+    relay_coordinator relays_;
+    key_resolver key_resolver_;
+    pause_detector pause_detector_{core_};
 };
 
 request_shard::request_shard(shard_context context, std::uint32_t index,
--- a/src/coordination/route_outcomes.cpp
+++ b/src/coordination/route_outcomes.cpp
@@ -18,7 +18,7 @@
     if (found == rows_.end())
     {
         // Configurations replace routes all day; what is counted must not grow with them.
-        if (rows_.size() >= most_routes)
+        if (rows_.size() >= max_routes)
         {
             rows_.clear();
         }
@@ -33,7 +33,7 @@
            count_of(counts, call_outcome::refused) + count_of(counts, call_outcome::failed);
 }
 
-double budget_used(outcome_counts const& counts, double objective) noexcept
+double error_budget_used(outcome_counts const& counts, double objective) noexcept
 {
     std::uint64_t const all = counted_calls(counts);
     double const allowed = 1.0 - objective;
--- a/src/coordination/safeguards.cpp
+++ b/src/coordination/safeguards.cpp
@@ -27,7 +27,7 @@
     return names[static_cast<std::size_t>(which)];
 }
 
-safeguard safeguard_named(std::string_view name) noexcept
+safeguard safeguard_from_name(std::string_view name) noexcept
 {
     auto const found = std::find(names.begin(), names.end(), name);
     return static_cast<safeguard>(found - names.begin());
--- a/src/coordination/service_directory.cpp
+++ b/src/coordination/service_directory.cpp
@@ -11,19 +11,19 @@
 {
 
 // By the name alone: a later start of an upstream stands in the part of the former.
-[[nodiscard]] std::size_t part_of(std::string_view name) noexcept
+[[nodiscard]] std::size_t bucket_of(std::string_view name) noexcept
 {
-    return state::key_of(name, {}).value % part_digests{}.size();
+    return state::key_of(name, {}).value % bucket_digests{}.size();
 }
 
 // What decides how a row changes: the listing with the greatest revision.
-struct standing
+struct listing_status
 {
     bool listed = false;
     bool usable = false;
 };
 
-[[nodiscard]] directory_change change_between(standing before, standing after) noexcept
+[[nodiscard]] directory_change change_between(listing_status before, listing_status after) noexcept
 {
     bool const could = before.listed && before.usable;
     bool const can = after.listed && after.usable;
@@ -41,7 +41,8 @@
 
 } // namespace
 
-directory_change service_directory::join(state::service_member const& member, state::time_point now)
+directory_change service_directory::merge(state::service_member const& member,
+                                          state::time_point now)
 {
     member_key const name_key = state::key_of(member.name, {});
     name_record& name = names_[name_key];
@@ -69,7 +70,7 @@
     {
         supersede(state::key_of(news.name, name.latest), now);
         name.latest = news.started;
-        starts_told_ = true;
+        starts_reported_ = true;
     }
     auto const found = entries_.find(state::key_of(news));
     if (found != entries_.end())
@@ -95,7 +96,7 @@
     if (!entry.info.listed)
     {
         entry.leaving_since = now;
-        entry.removed_from = now;
+        entry.removal_effective_at = now;
         return directory_change::removed;
     }
     if (member.leaving)
@@ -105,7 +106,7 @@
     }
     if (entry.info.usable && is_complete_)
     {
-        entry.fresh_since = now;
+        entry.newly_listed_at = now;
     }
     return entry.info.usable ? directory_change::listed : directory_change::unusable;
 }
@@ -116,7 +117,7 @@
     if (member.cold_ms != 0)
     {
         state::duration const time = std::chrono::milliseconds{member.cold_ms};
-        entry.cold_until = std::max(entry.cold_until, now + std::min(time, longest_cold));
+        entry.cold_until = std::max(entry.cold_until, now + std::min(time, max_cold_time));
     }
 }
 
@@ -125,7 +126,7 @@
     if (auto const found = entries_.find(key); found != entries_.end())
     {
         found->second.cold_until =
-            std::max(found->second.cold_until, now + std::min(time, longest_cold));
+            std::max(found->second.cold_until, now + std::min(time, max_cold_time));
     }
 }
 
@@ -135,12 +136,12 @@
     // The platform tells of a start up to a heartbeat late, and of the end of an evacuation at
     // once: the upstream may have become cold just before it.
     state::time_point until = entry.cold_until;
-    if (entry.fresh_since)
+    if (entry.newly_listed_at)
     {
-        until = std::max(until, *entry.fresh_since + limits.time);
+        until = std::max(until, *entry.newly_listed_at + limits.time);
     }
     state::time_point const ended =
-        evacuations_.ended_at(state::named<state::zone_id>(entry.info.zone));
+        evacuations_.ended_at(state::id_from_name<state::zone_id>(entry.info.zone));
     return ended == state::time_point{} ? until : std::max(until, ended + limits.time);
 }
 
@@ -149,7 +150,7 @@
                                            state::time_point now)
 {
     bool const begins_to_leave = member.leaving && !entry.info.leaving;
-    standing const before{entry.info.listed, entry.info.usable};
+    listing_status const before{entry.info.listed, entry.info.usable};
     bool const was_cold = now < entry.cold_until;
     toggle_digest(entry.info);
     entry.info.leaving = entry.info.leaving || member.leaving;
@@ -168,15 +169,15 @@
     {
         // An entry that ran out while the platform was away comes back if its upstream lives; to
         // drop it at once would empty the directory after each outage.
-        entry.removed_from = std::max(now, lapse_until_);
+        entry.removal_effective_at = std::max(now, lapse_until_);
     }
     if (change == directory_change::listed && is_complete_)
     {
-        entry.fresh_since = now;
+        entry.newly_listed_at = now;
     }
     if (entry.info.listed)
     {
-        entry.removed_from = state::never;
+        entry.removal_effective_at = state::never;
     }
     if (begins_to_leave && change != directory_change::removed)
     {
@@ -223,7 +224,7 @@
     entry.info.listed = false;
     entry.superseded = true;
     entry.leaving_since = std::min(entry.leaving_since, now);
-    entry.removed_from = std::min(entry.removed_from, now);
+    entry.removal_effective_at = std::min(entry.removal_effective_at, now);
     drop_from_service(entry, former);
 }
 
@@ -245,7 +246,7 @@
     }
 }
 
-void service_directory::platform_returned(state::time_point now) noexcept
+void service_directory::platform_recovered(state::time_point now) noexcept
 {
     lapse_until_ = now + lapse_grace;
 }
@@ -256,8 +257,9 @@
                   [this, now](auto const& row)
                   {
                       directory_entry const& entry = row.second;
-                      bool const drop = !entry.info.listed && entry.removed_from != state::never &&
-                                        entry.removed_from + remember_removed < now;
+                      bool const drop = !entry.info.listed &&
+                                        entry.removal_effective_at != state::never &&
+                                        entry.removal_effective_at + removed_retention < now;
                       if (drop)
                       {
                           toggle_digest(entry.info);
@@ -268,9 +270,9 @@
     std::erase_if(names_,
                   [this, now](auto const& row)
                   {
-                      bool const is_old = row.second.noted_at + remember_removed < now;
-                      return is_old &&
-                             !entries_.contains(state::key_of_start(row.first, row.second.latest));
+                      bool const is_old = row.second.noted_at + removed_retention < now;
+                      return is_old && !entries_.contains(
+                                           state::key_of_incarnation(row.first, row.second.latest));
                   });
 }
 
@@ -294,13 +296,13 @@
 bool service_directory::may_take_work(directory_entry const& entry,
                                       state::time_point now) const noexcept
 {
-    return stays(entry, now) && !is_evacuated(entry);
+    return is_available(entry, now) && !is_evacuated(entry);
 }
 
 bool service_directory::is_evacuated(directory_entry const& entry) const noexcept
 {
     bool const any = !evacuations_.known().in_force.empty();
-    return any && evacuations_.covers(state::named<state::zone_id>(entry.info.zone));
+    return any && evacuations_.covers(state::id_from_name<state::zone_id>(entry.info.zone));
 }
 
 bool service_directory::is_wholly_evacuated(std::string_view service, state::time_point now) const
@@ -313,7 +315,7 @@
     for (member_key const key : members_of(service))
     {
         directory_entry const* const entry = find(key);
-        bool const counts = entry != nullptr && stays(*entry, now);
+        bool const counts = entry != nullptr && is_available(*entry, now);
         if (counts && !is_evacuated(*entry))
         {
             return false;
@@ -323,11 +325,12 @@
     return staying > 0;
 }
 
-bool service_directory::stays(directory_entry const& entry, state::time_point now) const noexcept
+bool service_directory::is_available(directory_entry const& entry,
+                                     state::time_point now) const noexcept
 {
-    bool const is_own_entry = entry.info.started.value != 0 || !starts_told_;
+    bool const is_own_entry = entry.info.started.value != 0 || !starts_reported_;
     return entry.info.usable && is_own_entry && !entry.info.leaving && !entry.replaced &&
-           !entry.superseded && now < entry.removed_from;
+           !entry.superseded && now < entry.removal_effective_at;
 }
 
 std::span<member_key const> service_directory::members_of(std::string_view service) const
@@ -345,20 +348,21 @@
     // Rows that are removed don't count: peers forget them at different times.
     if (member.listed)
     {
-        std::uint64_t const standing = (member.leaving ? 2U : 1U) + (member.usable ? 0U : 2U);
-        std::uint64_t const row = state::mix(state::key_of(member).value, standing);
+        std::uint64_t const listing_status = (member.leaving ? 2U : 1U) + (member.usable ? 0U : 2U);
+        std::uint64_t const row = state::mix(state::key_of(member).value, listing_status);
         digest_ ^= row;
-        parts_[part_of(member.name)] ^= row;
+        digests_by_bucket_[bucket_of(member.name)] ^= row;
     }
 }
 
-std::vector<state::service_member> service_directory::rows_beside(part_digests const& others) const
+std::vector<state::service_member>
+service_directory::rows_differing_from(bucket_digests const& others) const
 {
     std::vector<state::service_member> rows;
     for (auto const& [key, entry] : entries_)
     {
-        std::size_t const part = part_of(entry.info.name);
-        if (parts_[part] != others[part])
+        std::size_t const bucket = bucket_of(entry.info.name);
+        if (digests_by_bucket_[bucket] != others[bucket])
         {
             rows.push_back(entry.info);
         }
--- a/src/coordination/shard_core.hpp
+++ b/src/coordination/shard_core.hpp
@@ -4,8 +4,8 @@
 
 #include <plumdale/coordination/delivery_counts.hpp>
 #include <plumdale/coordination/fleet_snapshot.hpp>
-#include <plumdale/coordination/key_memory.hpp>
 #include <plumdale/coordination/published.hpp>
+#include <plumdale/coordination/recent_keys.hpp>
 #include <plumdale/coordination/request_actions.hpp>
 #include <plumdale/coordination/request_shard.hpp>
 #include <plumdale/coordination/safeguards.hpp>
@@ -35,7 +35,7 @@
 
     /// \brief Takes the newest snapshot for the event at hand. Nothing else does: a snapshot that
     /// is replaced in the middle of an event would take members and upstreams in use with it.
-    void look()
+    void refresh_view()
     {
         view_ = &fleet_.current();
     }
@@ -46,7 +46,7 @@
         return *view_;
     }
 
-    [[nodiscard]] bool guarded(safeguard which) const noexcept
+    [[nodiscard]] bool enabled(safeguard which) const noexcept
     {
         return context.settings.safeguards.has(which);
     }
@@ -75,19 +75,19 @@
         refuse(caller, kind, view().preset.retry_after);
     }
 
-    void enter() const
+    void add_in_flight() const
     {
         context.in_flight.fetch_add(1, std::memory_order_acq_rel);
     }
 
-    void leave() const
+    void remove_in_flight() const
     {
         context.in_flight.fetch_sub(1, std::memory_order_acq_rel);
     }
 
     shard_context context;
     std::uint32_t index;
-    key_memory keys;
+    recent_keys keys;
     deadline_queue deadlines;
     delivery_counts counts;
     state::time_point now{};
--- a/src/coordination/engine_directory.cpp
+++ b/src/coordination/subset_selector.cpp
@@ -1,18 +1,18 @@
-#include <plumdale/coordination/engine_directory.hpp>
+#include <plumdale/coordination/subset_selector.hpp>
 
 #include <algorithm>
 
 namespace plumdale::coordination
 {
 
-engine_directory::engine_directory(state::node_id self, state::zone_id zone, subset_limits limits)
+subset_selector::subset_selector(state::node_id self, state::zone_id zone, subset_limits limits)
     : self_{self}, zone_{zone}, limits_{limits}
 {
 }
 
-zone_split engine_directory::select(fleet_snapshot const& fleet, state::model_id model)
+zone_split subset_selector::select(fleet_snapshot const& fleet, state::model_id model)
 {
-    choice& each = choices_[model];
+    cached_subset& each = cached_subsets_[model];
     // A snapshot that was built by hand has no version; then nothing is kept.
     if (fleet.version == 0 || each.version != fleet.version)
     {
@@ -23,18 +23,19 @@
     return {all.first(each.own_count), all.subspan(each.own_count), all};
 }
 
-std::size_t engine_directory::own_limit(fleet_snapshot const& fleet, std::size_t upstreams) const
+std::size_t subset_selector::own_limit(fleet_snapshot const& fleet, std::size_t upstreams) const
 {
     auto const peers =
         std::count_if(fleet.members.begin(), fleet.members.end(),
                       [this](state::member const& each)
                       { return each.zone == zone_ && each.health != state::member_health::dead; });
     std::size_t const entry_vms = static_cast<std::size_t>(peers) + 1;
-    return std::clamp(limits_.deciders * upstreams / entry_vms, limits_.fewest, limits_.most);
+    return std::clamp(limits_.entry_vms_per_upstream * upstreams / entry_vms, limits_.min_own_zone,
+                      limits_.max_own_zone);
 }
 
-void engine_directory::rebuild(choice& each, fleet_snapshot const& fleet,
-                               state::model_id model) const
+void subset_selector::rebuild(cached_subset& each, fleet_snapshot const& fleet,
+                              state::model_id model) const
 {
     std::span<upstream_view const> const views = fleet.upstreams_of(model);
     each.views.clear();
@@ -56,8 +57,8 @@
     static_cast<void>(keep_subset(each.views, each.own_count, limits_.other_zones));
 }
 
-std::size_t engine_directory::keep_subset(std::vector<upstream_view const*>& views,
-                                          std::size_t from, std::size_t limit) const
+std::size_t subset_selector::keep_subset(std::vector<upstream_view const*>& views, std::size_t from,
+                                         std::size_t limit) const
 {
     if (views.size() - from > limit)
     {
--- a/src/coordination/upstream_limits.cpp
+++ b/src/coordination/upstream_limits.cpp
@@ -15,7 +15,7 @@
 }
 
 // Above what any VM sends, so that the arithmetic stays in range whatever an answer says.
-constexpr double most_per_second = 1e6;
+constexpr double max_per_second = 1e6;
 
 } // namespace
 
@@ -35,50 +35,52 @@
     }
     row& limit = found->second;
     limit.confirmed_at = now;
-    bool const is_early = !per_second && now < limit.stated_at + ends_after;
+    bool const is_early = !per_second && now < limit.stated_at + removal_delay;
     if (is_early || (!per_second && !limit.per_second))
     {
         return limit_change::none;
     }
     double const before = limit.per_second.value_or(0.0);
-    limit_change const changed = change(member, limit, per_second, now);
-    bool const is_told = changed == limit_change::begins || changed == limit_change::ends ||
-                         std::abs(before - per_second.value_or(0.0)) > telling_part * before;
+    limit_change const changed = apply_statement(member, limit, per_second, now);
+    bool const is_told = changed == limit_change::added || changed == limit_change::removed ||
+                         std::abs(before - per_second.value_or(0.0)) > report_threshold * before;
     if (changed != limit_change::none && is_told)
     {
-        untold_.push_back(member);
+        unreported_.push_back(member);
     }
     return is_told ? changed : limit_change::none;
 }
 
-limit_change upstream_limits::hear(state::stated_limit const& told, state::time_point now)
+limit_change upstream_limits::apply_update(state::stated_limit const& reported,
+                                           state::time_point now)
 {
     // A damaged number passes no comparison.
-    bool const is_sound = !told.per_second || *told.per_second >= 0.0;
-    state::time_point const as_of = now - told.age;
-    auto found = rows_.find(told.member);
+    bool const is_sound = !reported.per_second || *reported.per_second >= 0.0;
+    state::time_point const as_of = now - reported.age;
+    auto found = rows_.find(reported.member);
     if (found == rows_.end())
     {
         // An end is kept as well: the statement that it ends may come later.
-        if (told.age >= lapse || !is_sound || rows_.size() >= capacity)
+        if (reported.age >= lifetime || !is_sound || rows_.size() >= capacity)
         {
             return limit_change::none;
         }
-        found = rows_.emplace(told.member, row{}).first;
+        found = rows_.emplace(reported.member, row{}).first;
     }
     if (as_of <= found->second.as_of || !is_sound)
     {
         return limit_change::none;
     }
-    return change(told.member, found->second, told.per_second, as_of);
+    return apply_statement(reported.member, found->second, reported.per_second, as_of);
 }
 
-limit_change upstream_limits::change(state::member_key member, row& limit,
-                                     std::optional<double> per_second, state::time_point now)
+limit_change upstream_limits::apply_statement(state::member_key member, row& limit,
+                                              std::optional<double> per_second,
+                                              state::time_point now)
 {
     if (per_second)
     {
-        per_second = std::min(*per_second, most_per_second);
+        per_second = std::min(*per_second, max_per_second);
         limit.stated_at = std::max(limit.stated_at, now);
     }
     limit.as_of = now;
@@ -89,31 +91,31 @@
     }
     if (!per_second)
     {
-        return limit_change::ends;
+        return limit_change::removed;
     }
     if (before)
     {
-        return limit_change::other_value;
+        return limit_change::updated;
     }
     // Those that send begin one after the other, spread over the time of one request.
-    count_sharing(member, limit);
+    update_rank(member, limit);
     limit.allowed =
-        static_cast<double>(limit.rank) / static_cast<double>(senders(*per_second, limit.vms));
+        static_cast<double>(limit.rank) / static_cast<double>(sender_count(*per_second, limit.vms));
     limit.counted_at = now;
-    return limit_change::begins;
+    return limit_change::added;
 }
 
 // -- sending --------------------------------------------------------------------------------------
 
 // With more senders than that the first requests of all exceed the limit by themselves: each may
 // have saved up one.
-std::size_t upstream_limits::senders(double per_second, std::size_t vms) noexcept
+std::size_t upstream_limits::sender_count(double per_second, std::size_t vms) noexcept
 {
     return std::clamp<std::size_t>(static_cast<std::size_t>(per_second) + 1, 1, vms);
 }
 
 // Also those that are silent: cut off from this VM, they send all the same.
-void upstream_limits::count_sharing(state::member_key member, row& limit) const
+void upstream_limits::update_rank(state::member_key member, row& limit) const
 {
     std::uint64_t const own = state::mix(self_.value, member.value);
     auto const is_before = [member, own](auto const& each)
@@ -127,9 +129,9 @@
 
 double upstream_limits::own_rate(row const& limit) noexcept
 {
-    std::size_t const sharing = senders(*limit.per_second, limit.vms);
+    std::size_t const sharing = sender_count(*limit.per_second, limit.vms);
     return limit.rank < sharing
-               ? std::max(*limit.per_second, least_rate) / static_cast<double>(sharing)
+               ? std::max(*limit.per_second, min_rate) / static_cast<double>(sharing)
                : 0.0;
 }
 
@@ -137,7 +139,7 @@
 {
     double const since = seconds(std::max(state::duration::zero(), now - limit.counted_at));
     double const rate = own_rate(limit);
-    double const saved_up = std::max(1.0, rate * seconds(longest_saved));
+    double const saved_up = std::max(1.0, rate * seconds(max_burst_time));
     return std::min(saved_up, limit.allowed + since * rate);
 }
 
@@ -170,42 +172,42 @@
 
 void upstream_limits::sweep(state::time_point now)
 {
-    std::erase_if(rows_, [now](auto const& each) { return now >= each.second.as_of + lapse; });
+    std::erase_if(rows_, [now](auto const& each) { return now >= each.second.as_of + lifetime; });
     for (auto& [member, limit] : rows_)
     {
-        count_sharing(member, limit);
+        update_rank(member, limit);
     }
 }
 
 // -- telling --------------------------------------------------------------------------------------
 
-std::vector<state::stated_limit> upstream_limits::untold(state::time_point now)
+std::vector<state::stated_limit> upstream_limits::unreported(state::time_point now)
 {
-    std::vector<state::stated_limit> told;
-    for (state::member_key const member : std::exchange(untold_, {}))
+    std::vector<state::stated_limit> reported;
+    for (state::member_key const member : std::exchange(unreported_, {}))
     {
         if (auto const found = rows_.find(member); found != rows_.end())
         {
-            told.push_back({member, found->second.per_second, now - found->second.as_of});
+            reported.push_back({member, found->second.per_second, now - found->second.as_of});
         }
     }
-    return told;
+    return reported;
 }
 
-std::vector<state::stated_limit> upstream_limits::confirmed(std::size_t most,
+std::vector<state::stated_limit> upstream_limits::confirmed(std::size_t max_count,
                                                             state::time_point now) const
 {
-    std::vector<state::stated_limit> told;
+    std::vector<state::stated_limit> reported;
     for (auto const& [member, limit] : rows_)
     {
-        bool const is_own =
-            limit.confirmed_at != state::time_point{} && now < limit.confirmed_at + confirmed_for;
-        if (is_own && told.size() < most)
+        bool const is_own = limit.confirmed_at != state::time_point{} &&
+                            now < limit.confirmed_at + rebroadcast_time;
+        if (is_own && reported.size() < max_count)
         {
-            told.push_back({member, limit.per_second, now - limit.as_of});
+            reported.push_back({member, limit.per_second, now - limit.as_of});
         }
     }
-    return told;
+    return reported;
 }
 
 } // namespace plumdale::coordination
--- a/src/coordination/upstream_list.cpp
+++ b/src/coordination/upstream_list.cpp
@@ -31,7 +31,7 @@
     for (state::upstream const& each : listed)
     {
         auto const at = known.find(each.id);
-        if (at != known.end() && at->second->info.uptime == each.uptime)
+        if (at != known.end() && at->second->info.incarnation_number == each.incarnation_number)
         {
             views.push_back({each, at->second->gauge, true});
             continue;
--- /dev/null
+++ b/src/coordination/upstream_selector.cpp
@@ -0,0 +1,172 @@
+#include <plumdale/coordination/upstream_selector.hpp>
+
+#include <algorithm>
+
+namespace plumdale::coordination
+{
+namespace
+{
+
+// Plain upstreams queue beyond their slots; a listing without slots is taken for one.
+double slots_of(state::service_member const& member)
+{
+    return std::max(1U, member.slots);
+}
+
+state::duration reading_time(double prompt_tokens)
+{
+    double const ms = prompt_tokens / upstream_selector::prompt_tokens_per_ms;
+    return std::chrono::duration_cast<state::duration>(
+        std::chrono::duration<double, std::milli>{ms});
+}
+
+} // namespace
+
+upstream_selector::upstream_selector(service_directory const& directory, load_ledger const& ledger,
+                                     outlier_detector const& health,
+                                     cold_upstream_limiter const& share,
+                                     upstream_limits const& limits, std::string_view own_zone,
+                                     std::minstd_rand& random)
+    : directory_{directory}, ledger_{ledger}, health_{health}, share_{share}, limits_{limits},
+      own_zone_{own_zone}, random_{random}
+{
+}
+
+// One that could not be reached for a while may have become cold meanwhile, and all entry VMs find
+// it empty at the same moment.
+bool upstream_selector::is_cold(directory_entry const& entry, state::service const& service,
+                                state::time_point now) const
+{
+    if (!service.cold)
+    {
+        return false;
+    }
+    state::time_point const back_at = health_.ejected_until(state::key_of(entry.info));
+    bool const was_aside = back_at != state::time_point{} && now < back_at + service.cold->time;
+    return was_aside || now < directory_.cold_until(entry, *service.cold);
+}
+
+bool upstream_selector::may_send(directory_entry const& entry, state::service const& service,
+                                 state::time_point now) const
+{
+    bool const is_open =
+        directory_.may_take_work(entry, now) && limits_.may_send(state::key_of(entry.info), now);
+    if (!is_open)
+    {
+        return false;
+    }
+    return !is_cold(entry, service, now) ||
+           share_.may_send(state::key_of(entry.info), *service.cold, now);
+}
+
+double upstream_selector::fullness(directory_entry const& entry, state::service const& service,
+                                   call_demand const& demand) const
+{
+    member_load const load = ledger_.total(state::key_of(entry.info));
+    double const calls = (load.calls + 1.0) / slots_of(entry.info);
+    if (!service.engine || service.engine->memory_tokens == 0)
+    {
+        return calls;
+    }
+    // Outputs end one by one while others grow, so what is there now counts as much as what all
+    // will hold at their ends, which they don't reach at the same moment.
+    double const held = (load.tokens + load.tokens_at_end) / 2.0;
+    double const wanted = demand.prompt_tokens + demand.output_tokens / 2.0;
+    return std::max(calls, (held + wanted) / service.engine->memory_tokens);
+}
+
+state::duration upstream_selector::time_to_first_event(directory_entry const& entry,
+                                                       call_demand const& demand) const
+{
+    member_load const load = ledger_.total(state::key_of(entry.info));
+    return reading_time(load.pending_prefill_tokens + demand.prompt_tokens);
+}
+
+state::duration upstream_selector::min_time_to_first_event(call_demand const& demand)
+{
+    return reading_time(demand.prompt_tokens);
+}
+
+std::optional<selected_upstream> upstream_selector::choose(state::service const& service,
+                                                           call_demand const& demand,
+                                                           selection_options const& options,
+                                                           state::time_point now) const
+{
+    std::span<state::member_key const> const members = directory_.members_of(service.name);
+    std::uniform_real_distribution<double> draw{0.0, 1.0};
+    double const chance = sampling_probability(members.size(), options.candidates);
+    auto best = best_of(members, service, demand, options, now,
+                        [&] { return chance >= 1.0 || draw(random_) < chance; });
+    // None of those drawn may take work: then any will do, unless few were to be looked at.
+    bool const is_final = best || options.candidates < selection_options::sampled_candidates;
+    return is_final ? best : best_of(members, service, demand, options, now, [] { return true; });
+}
+
+double upstream_selector::sampling_probability(std::size_t members,
+                                               std::size_t candidates) const noexcept
+{
+    bool const all =
+        candidates >= selection_options::sampled_candidates && members <= 2 * candidates;
+    return all ? 1.0 : static_cast<double>(candidates) / static_cast<double>(members);
+}
+
+template <class Sampled>
+std::optional<selected_upstream>
+upstream_selector::best_of(std::span<state::member_key const> members,
+                           state::service const& service, call_demand const& demand,
+                           selection_options const& options, state::time_point now,
+                           Sampled const& is_sampled) const
+{
+    std::optional<selected_upstream> best;
+    double best_score = 0.0;
+    std::size_t seen = 0;
+    std::uniform_real_distribution<double> noise{0.0, max_score_noise};
+    for (state::member_key const key : members)
+    {
+        // Drawn first: of thousands, few are worth more than a draw.
+        directory_entry const* const entry = is_sampled() ? directory_.find(key) : nullptr;
+        bool const fits = entry != nullptr && may_send(*entry, service, now) &&
+                          std::find(options.excluded.begin(), options.excluded.end(), key) ==
+                              options.excluded.end();
+        if (!fits)
+        {
+            continue;
+        }
+        ++seen;
+        double const full = fullness(*entry, service, demand);
+        state::duration const wait = time_to_first_event(*entry, demand);
+        double const score =
+            full + preemption_penalty * std::max(0.0, full - preemption_threshold) +
+            wait_penalty_per_second * std::chrono::duration<double>(wait).count() +
+            (entry->info.zone == options.preferred_zone ? 0.0 : options.zone_penalty) +
+            ejection_penalty * health_.penalty(key, now) + noise(random_);
+        if (!best || score < best_score)
+        {
+            best = selected_upstream{key, full, wait};
+            best_score = score;
+        }
+    }
+    if (best)
+    {
+        best->candidates_examined = seen;
+    }
+    return best;
+}
+
+double upstream_selector::mean_fullness(state::service const& service, state::time_point now) const
+{
+    double sum = 0.0;
+    std::size_t count = 0;
+    for (state::member_key const key : directory_.members_of(service.name))
+    {
+        directory_entry const* const entry = directory_.find(key);
+        if (entry != nullptr && directory_.may_take_work(*entry, now))
+        {
+            sum += fullness(*entry, service, {});
+            ++count;
+        }
+    }
+    return count == 0 ? 1.0 : sum / static_cast<double>(count);
+}
+
+} // namespace plumdale::coordination
--- a/src/protocol/admin_codec.cpp
+++ b/src/protocol/admin_codec.cpp
@@ -28,9 +28,10 @@
 
 std::string preset_name(state::preset_id id, fleet_snapshot const& fleet)
 {
-    auto const found = std::find_if(fleet.presets.begin(), fleet.presets.end(),
-                                    [id](state::preset const& each)
-                                    { return state::named<state::preset_id>(each.name) == id; });
+    auto const found =
+        std::find_if(fleet.presets.begin(), fleet.presets.end(),
+                     [id](state::preset const& each)
+                     { return state::id_from_name<state::preset_id>(each.name) == id; });
     return found == fleet.presets.end() ? to_hex(id.value) : found->name;
 }
 
@@ -58,7 +59,7 @@
     return {{"id", to_hex(member.id.value)},
             {"zone", zone_name(member.zone, node)},
             {"datagrams", to_text(member.datagrams)},
-            {"incarnation", member.uptime.value},
+            {"incarnation", member.incarnation_number.value},
             {"health", health_name(member.health)}};
 }
 
@@ -135,7 +136,7 @@
 
 } // namespace
 
-std::string_view health_word(fleet_snapshot const& fleet) noexcept
+std::string_view readiness_name(fleet_snapshot const& fleet) noexcept
 {
     if (fleet.draining)
     {
@@ -148,9 +149,9 @@
 {
     json::object self{{"id", to_hex(node.self.id.value)},
                       {"zone", node.zone},
-                      {"incarnation", node.self.uptime.value},
+                      {"incarnation", node.self.incarnation_number.value},
                       {"datagrams", to_text(node.self.datagrams)},
-                      {"health", health_word(fleet)}};
+                      {"health", readiness_name(fleet)}};
     json::array presets;
     for (state::preset const& each : fleet.presets)
     {
@@ -194,7 +195,7 @@
                                         {"assignments", std::move(assignments)}});
 }
 
-state::result<switch_wish> decode_switch(std::string_view body)
+state::result<switch_request> decode_switch_request(std::string_view body)
 {
     BOOST_OUTCOME_TRY(auto const object, parse_object(body));
     json::string const* const preset = find_string(object, "preset");
@@ -202,11 +203,11 @@
     {
         return state::failure{state::error_kind::invalid_request, "preset: a name is wanted"};
     }
-    return switch_wish{state::named<state::preset_id>(std::string_view{*preset}),
-                       number_or(object, "over_revision", 0)};
+    return switch_request{state::id_from_name<state::preset_id>(std::string_view{*preset}),
+                          number_or(object, "over_revision", 0)};
 }
 
-unsigned status_of(switch_outcome outcome) noexcept
+unsigned http_status_of(switch_outcome outcome) noexcept
 {
     state::error_answer const* const row = error_of(outcome);
     return row == nullptr ? 200 : row->status;
--- a/src/protocol/caller_codec.cpp
+++ b/src/protocol/caller_codec.cpp
@@ -18,12 +18,12 @@
 using state::request;
 using state::result;
 
-constexpr std::string_view bearer = "Bearer ";
-constexpr std::string_view generations = "/v1/generations";
-constexpr std::string_view services = "/v1/services/";
+constexpr std::string_view bearer_prefix = "Bearer ";
+constexpr std::string_view generations_path = "/v1/generations";
+constexpr std::string_view services_path = "/v1/services/";
 constexpr std::uint32_t characters_per_token = 4;
-constexpr std::size_t prefix_block = 64; // characters, 16 tokens
-constexpr std::size_t prefix_blocks = 32;
+constexpr std::size_t prefix_block_characters = 64; // characters, 16 tokens
+constexpr std::size_t max_prefix_blocks = 32;
 constexpr std::uint32_t token_limit = 1'000'000;
 
 failure invalid(std::string detail)
@@ -41,13 +41,13 @@
 // -- headers
 // ---------------------------------------------------------------------------------------
 
-result<void> read_identity(caller_message const& message, request& into)
+result<void> read_identity(http_request_view const& message, request& into)
 {
     if (message.generation.empty())
     {
         return boost::outcome_v2::success();
     }
-    auto const id = parse_generation(message.generation);
+    auto const id = parse_generation_id(message.generation);
     if (!id)
     {
         return failure{error_kind::unknown_generation, "Plumdale-Generation is no identity"};
@@ -56,11 +56,11 @@
     return boost::outcome_v2::success();
 }
 
-result<void> read_key(caller_message const& message, request& into)
+result<void> read_idempotency_key(http_request_view const& message, request& into)
 {
     if (!message.idempotency_key.empty())
     {
-        into.key = state::key_id{
+        into.key = state::idempotency_key_id{
             state::stable_hash(message.idempotency_key, state::stable_hash(message.authorization))};
     }
     if (!message.attempt.empty() &&
@@ -71,7 +71,7 @@
     return boost::outcome_v2::success();
 }
 
-result<void> read_kind(caller_message const& message, request& into)
+result<void> read_kind(http_request_view const& message, request& into)
 {
     if (message.kind == "draft")
     {
@@ -85,7 +85,7 @@
     return boost::outcome_v2::success();
 }
 
-result<void> read_repeatable(caller_message const& message, request& into)
+result<void> read_repeatable(http_request_view const& message, request& into)
 {
     if (message.repeatable.empty())
     {
@@ -99,15 +99,15 @@
     return boost::outcome_v2::success();
 }
 
-result<void> read_deadline(caller_message const& message, state::time_point now, request& into)
+result<void> read_deadline(http_request_view const& message, state::time_point now, request& into)
 {
     if (message.deadline_ms.empty())
     {
         return boost::outcome_v2::success();
     }
-    constexpr std::uint32_t longest_ms = 86'400'000;
+    constexpr std::uint32_t max_deadline_ms = 86'400'000;
     std::uint32_t milliseconds = 0;
-    if (!parse_number(message.deadline_ms, milliseconds) || milliseconds > longest_ms)
+    if (!parse_number(message.deadline_ms, milliseconds) || milliseconds > max_deadline_ms)
     {
         return invalid("Plumdale-Deadline-Ms: a whole number up to a day is wanted");
     }
@@ -115,15 +115,15 @@
     return boost::outcome_v2::success();
 }
 
-result<void> read_headers(caller_message const& message, state::time_point now, request& into)
+result<void> read_headers(http_request_view const& message, state::time_point now, request& into)
 {
-    if (!message.authorization.starts_with(bearer))
+    if (!message.authorization.starts_with(bearer_prefix))
     {
         return failure{error_kind::unauthenticated, "Authorization: Bearer <key> is wanted"};
     }
-    into.api_key = sha256(message.authorization.substr(bearer.size()));
+    into.api_key = sha256(message.authorization.substr(bearer_prefix.size()));
     BOOST_OUTCOME_TRYV(read_identity(message, into));
-    BOOST_OUTCOME_TRYV(read_key(message, into));
+    BOOST_OUTCOME_TRYV(read_idempotency_key(message, into));
     BOOST_OUTCOME_TRYV(read_kind(message, into));
     BOOST_OUTCOME_TRYV(read_repeatable(message, into));
     return read_deadline(message, now, into);
@@ -172,15 +172,15 @@
     return std::string{*prompt};
 }
 
-void read_prefix(request& into)
+void hash_prefix_blocks(request& into)
 {
     std::string_view const prompt{*into.body};
     std::uint64_t hash = into.model.value;
     for (std::size_t at = 0;
-         at + prefix_block <= prompt.size() && into.prefix.size() < prefix_blocks;
-         at += prefix_block)
+         at + prefix_block_characters <= prompt.size() && into.prefix.size() < max_prefix_blocks;
+         at += prefix_block_characters)
     {
-        hash = state::stable_hash(prompt.substr(at, prefix_block), hash);
+        hash = state::stable_hash(prompt.substr(at, prefix_block_characters), hash);
         into.prefix.push_back(hash);
     }
 }
@@ -193,7 +193,7 @@
     {
         return invalid("model: a name is wanted");
     }
-    into.model = state::named<state::model_id>(std::string_view{*model});
+    into.model = state::id_from_name<state::model_id>(std::string_view{*model});
     if (boost::json::value const* const limit = body.if_contains("max_tokens"))
     {
         into.max_tokens = static_cast<std::uint32_t>(number_or(body, "max_tokens", 0, token_limit));
@@ -213,16 +213,16 @@
     BOOST_OUTCOME_TRY(auto prompt, prompt_of(body));
     into.prompt_tokens = static_cast<std::uint32_t>(prompt.size() / characters_per_token + 1);
     into.body = std::make_shared<std::string const>(std::move(prompt));
-    read_prefix(into);
+    hash_prefix_blocks(into);
     return boost::outcome_v2::success();
 }
 
 // -- targets
 // ---------------------------------------------------------------------------------------
 
-result<void> read_generation_target(caller_message const& message, request& into)
+result<void> read_generation_target(http_request_view const& message, request& into)
 {
-    auto const id = parse_generation(message.target.substr(generations.size() + 1));
+    auto const id = parse_generation_id(message.target.substr(generations_path.size() + 1));
     if (!id)
     {
         return failure{error_kind::unknown_generation, "the path names no identity"};
@@ -230,14 +230,14 @@
     into.generation = *id;
     if (message.method == "DELETE")
     {
-        into.what = state::operation::cancel;
+        into.op = state::operation::cancel;
         return boost::outcome_v2::success();
     }
     if (message.method != "GET")
     {
         return invalid("GET or DELETE is wanted");
     }
-    into.what = state::operation::attach;
+    into.op = state::operation::attach;
     if (message.last_event_id.empty())
     {
         return boost::outcome_v2::success();
@@ -252,9 +252,9 @@
     return boost::outcome_v2::success();
 }
 
-result<void> read_service_target(caller_message const& message, request& into)
+result<void> read_service_target(http_request_view const& message, request& into)
 {
-    std::string_view const rest = message.target.substr(services.size());
+    std::string_view const rest = message.target.substr(services_path.size());
     std::size_t const slash = rest.find('/');
     std::string_view const name = rest.substr(0, slash);
     if (name.empty())
@@ -264,16 +264,17 @@
     into.kind = state::work_kind::call;
     into.repeatable = message.repeatable == "true";
     into.streamed = false;
-    into.model = state::named<state::model_id>(name);
+    into.model = state::id_from_name<state::model_id>(name);
     into.path = slash == std::string_view::npos ? "/" : std::string{rest.substr(slash)};
     into.body = std::make_shared<std::string const>(message.body);
     return boost::outcome_v2::success();
 }
 
-result<void> read_target(caller_message const& message, request& into)
+result<void> read_target(http_request_view const& message, request& into)
 {
-    if (message.target.starts_with(generations) && message.target.size() > generations.size() &&
-        message.target[generations.size()] == '/')
+    if (message.target.starts_with(generations_path) &&
+        message.target.size() > generations_path.size() &&
+        message.target[generations_path.size()] == '/')
     {
         return read_generation_target(message, into);
     }
@@ -281,16 +282,16 @@
     {
         return invalid("POST is wanted");
     }
-    if (message.target == generations)
+    if (message.target == generations_path)
     {
-        into.what = state::operation::reserve;
+        into.op = state::operation::reserve;
         return boost::outcome_v2::success();
     }
     if (message.target == "/v1/completions" || message.target == "/v1/chat/completions")
     {
         return read_completion(message.body, into);
     }
-    if (message.target.starts_with(services))
+    if (message.target.starts_with(services_path))
     {
         return read_service_target(message, into);
     }
@@ -323,7 +324,8 @@
 
 } // namespace
 
-state::result<state::request> decode_request(caller_message const& message, state::time_point now)
+state::result<state::request> decode_request(http_request_view const& message,
+                                             state::time_point now)
 {
     request decoded;
     BOOST_OUTCOME_TRYV(read_headers(message, now, decoded));
@@ -353,7 +355,8 @@
     return "event: error\ndata: " + error_body(error) + "\n\n";
 }
 
-std::string whole_body(state::generation_id const& id, std::string_view text, std::uint32_t tokens)
+std::string completion_body(state::generation_id const& id, std::string_view text,
+                            std::uint32_t tokens)
 {
     boost::json::object body;
     body["id"] = to_text(id);
--- a/src/protocol/datagram_seal.cpp
+++ b/src/protocol/datagram_mac.cpp
@@ -1,4 +1,4 @@
-#include "datagram_seal.hpp"
+#include "datagram_mac.hpp"
 
 #include <openssl/crypto.h>
 #include <openssl/evp.h>
@@ -13,7 +13,7 @@
 namespace
 {
 
-using mac_bytes = std::array<char, datagram_seal_bytes>;
+using mac_bytes = std::array<char, datagram_mac_bytes>;
 
 mac_bytes mac_of(std::string_view key, std::span<char const> text)
 {
@@ -26,15 +26,15 @@
     return mac;
 }
 
-bool fits(std::string_view key, std::span<char const> datagram)
+bool mac_matches(std::string_view key, std::span<char const> datagram)
 {
-    mac_bytes const mac = mac_of(key, datagram.subspan(datagram_seal_bytes));
+    mac_bytes const mac = mac_of(key, datagram.subspan(datagram_mac_bytes));
     return CRYPTO_memcmp(mac.data(), datagram.data(), mac.size()) == 0;
 }
 
 } // namespace
 
-std::string sealed(std::span<char const> text, std::string_view key)
+std::string with_mac(std::span<char const> text, std::string_view key)
 {
     mac_bytes const mac = mac_of(key, text);
     std::string datagram;
@@ -44,13 +44,13 @@
     return datagram;
 }
 
-bool is_sealed(std::span<char const> datagram, std::string_view key,
-               std::span<std::string const> accepted)
+bool has_valid_mac(std::span<char const> datagram, std::string_view key,
+                   std::span<std::string const> accepted_keys)
 {
-    return datagram.size() >= datagram_seal_bytes &&
-           (fits(key, datagram) ||
-            std::any_of(accepted.begin(), accepted.end(),
-                        [datagram](std::string const& each) { return fits(each, datagram); }));
+    return datagram.size() >= datagram_mac_bytes &&
+           (mac_matches(key, datagram) || std::any_of(accepted_keys.begin(), accepted_keys.end(),
+                                                      [datagram](std::string const& each)
+                                                      { return mac_matches(each, datagram); }));
 }
 
 } // namespace plumdale::protocol
--- a/src/protocol/datagram_seal.hpp
+++ b/src/protocol/datagram_mac.hpp
@@ -12,13 +12,14 @@
 {
 
 /// \brief Bytes of the MAC.
-inline constexpr std::size_t datagram_seal_bytes = 16;
+inline constexpr std::size_t datagram_mac_bytes = 16;
 
 /// \brief Returns `text` with its MAC by `key` in front.
-[[nodiscard]] std::string sealed(std::span<char const> text, std::string_view key);
+[[nodiscard]] std::string with_mac(std::span<char const> text, std::string_view key);
 
-/// \brief Returns whether the MAC in front of `datagram` was made with `key` or one of `accepted`.
-[[nodiscard]] bool is_sealed(std::span<char const> datagram, std::string_view key,
-                             std::span<std::string const> accepted);
+/// \brief Returns whether the MAC in front of `datagram` was made with `key` or one of
+/// `accepted_keys`.
+[[nodiscard]] bool has_valid_mac(std::span<char const> datagram, std::string_view key,
+                                 std::span<std::string const> accepted_keys);
 
 } // namespace plumdale::protocol
--- a/src/protocol/digest.cpp
+++ b/src/protocol/digest.cpp
@@ -9,9 +9,9 @@
 namespace plumdale::protocol
 {
 
-state::key_digest sha256(std::string_view text)
+state::sha256_digest sha256(std::string_view text)
 {
-    state::key_digest digest{};
+    state::sha256_digest digest{};
     SHA256(reinterpret_cast<unsigned char const*>(text.data()), text.size(), digest.data());
     return digest;
 }
@@ -19,20 +19,20 @@
 state::request_digest digest_of_request(std::string_view host, std::string_view path,
                                         std::string_view customer, std::string_view body)
 {
-    state::key_digest const content = sha256(body);
+    state::sha256_digest const content = sha256(body);
     // No part can hold the separator, so two requests never give the same text.
     std::string text;
     text.append(host).append(1, '\n').append(path).append(1, '\n').append(customer).append(1, '\n');
     text.append(content.begin(), content.end());
-    state::key_digest const whole = sha256(text);
+    state::sha256_digest const whole = sha256(text);
     state::request_digest digest;
     std::memcpy(&digest.value, whole.data(), sizeof(digest.value));
     return digest;
 }
 
-std::optional<state::key_digest> parse_digest(std::string_view hex)
+std::optional<state::sha256_digest> parse_digest(std::string_view hex)
 {
-    state::key_digest digest{};
+    state::sha256_digest digest{};
     if (hex.size() != 2 * digest.size())
     {
         return std::nullopt;
--- a/src/protocol/engine_codec.cpp
+++ b/src/protocol/engine_codec.cpp
@@ -24,7 +24,8 @@
 }
 
 // Returns a member that must be there, as a number of 32 bits.
-state::result<std::uint32_t> required(boost::json::object const& object, std::string_view name)
+state::result<std::uint32_t> required_number(boost::json::object const& object,
+                                             std::string_view name)
 {
     std::uint64_t const value = number_or(object, name, UINT64_MAX, UINT32_MAX);
     if (value == UINT64_MAX)
@@ -44,7 +45,7 @@
 {
     boost::json::string const* const text = find_string(object, "generation");
     return text == nullptr ? state::generation_id{}
-                           : parse_generation(*text).value_or(state::generation_id{});
+                           : parse_generation_id(*text).value_or(state::generation_id{});
 }
 
 } // namespace
@@ -71,10 +72,10 @@
     boost::json::object const& object = parsed.value();
     if (flag_or(object, "done", false))
     {
-        BOOST_OUTCOME_TRY(auto const count, required(object, "count"));
+        BOOST_OUTCOME_TRY(auto const count, required_number(object, "count"));
         return engine_event{engine_done{generation_of(object), count}};
     }
-    BOOST_OUTCOME_TRY(auto const index, required(object, "index"));
+    BOOST_OUTCOME_TRY(auto const index, required_number(object, "index"));
     boost::json::string const* const text = find_string(object, "text");
     if (text == nullptr)
     {
@@ -91,18 +92,18 @@
         return fault(parsed.error().detail);
     }
     boost::json::object const& object = parsed.value();
-    constexpr std::uint64_t longest_age_ms = 3'600'000;
+    constexpr std::uint64_t max_age_ms = 3'600'000;
     state::load_report report;
     report.sequence = number_or(object, "sequence", 0);
-    report.uptime = state::incarnation{number_or(object, "uptime", 0)};
-    report.age = std::chrono::milliseconds{number_or(object, "age_ms", 0, longest_age_ms)};
+    report.incarnation_number = state::incarnation{number_or(object, "uptime", 0)};
+    report.age = std::chrono::milliseconds{number_or(object, "age_ms", 0, max_age_ms)};
     report.preemptions = number_or(object, "preemptions", 0);
     report.leaving = flag_or(object, "leaving", false);
-    BOOST_OUTCOME_TRY(report.blocks_total, required(object, "blocks_total"));
-    BOOST_OUTCOME_TRY(report.blocks_used, required(object, "blocks_used"));
-    BOOST_OUTCOME_TRY(report.block_tokens, required(object, "block_tokens"));
-    BOOST_OUTCOME_TRY(report.running, required(object, "running"));
-    BOOST_OUTCOME_TRY(report.waiting, required(object, "waiting"));
+    BOOST_OUTCOME_TRY(report.blocks_total, required_number(object, "blocks_total"));
+    BOOST_OUTCOME_TRY(report.blocks_used, required_number(object, "blocks_used"));
+    BOOST_OUTCOME_TRY(report.block_tokens, required_number(object, "block_tokens"));
+    BOOST_OUTCOME_TRY(report.running, required_number(object, "running"));
+    BOOST_OUTCOME_TRY(report.waiting, required_number(object, "waiting"));
     return report;
 }
 
@@ -125,7 +126,7 @@
     }
     boost::json::object const& object = parsed.value();
     boost::json::string const* const role = find_string(object, "role");
-    auto const known = role == nullptr ? std::nullopt : role_named(*role);
+    auto const known = role == nullptr ? std::nullopt : role_from_name(*role);
     if (!known)
     {
         return fault("role: mixed, drafts, questions or idle is wanted");
@@ -138,7 +139,7 @@
     return order;
 }
 
-bool event_splitter::append(std::string_view bytes)
+bool event_data_splitter::append(std::string_view bytes)
 {
     if (start_ > 0)
     {
@@ -149,7 +150,7 @@
     return buffer_.size() < line_limit || buffer_.find('\n') != std::string::npos;
 }
 
-bool event_splitter::next(std::string& data)
+bool event_data_splitter::next(std::string& data)
 {
     for (;;)
     {
--- a/src/protocol/burn_text.cpp
+++ b/src/protocol/error_budget_text.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/protocol/burn_text.hpp>
+#include <plumdale/protocol/error_budget_text.hpp>
 
 #include <boost/json.hpp>
 
@@ -10,27 +10,27 @@
 {
 
 namespace json = boost::json;
-using coordination::burn_report;
-using coordination::burn_row;
-using coordination::burn_settings;
+using coordination::error_budget_report;
+using coordination::error_budget_row;
+using coordination::error_budget_settings;
 using coordination::objective_count;
 
 json::object quantiles(coordination::latency_quantiles const& from)
 {
-    if (!from.known())
+    if (!from.has_estimate())
     {
         return {{"samples", from.samples}, {"p50", nullptr}, {"p95", nullptr}, {"p99", nullptr}};
     }
     return {{"samples", from.samples}, {"p50", from.p50}, {"p95", from.p95}, {"p99", from.p99}};
 }
 
-json::array windows(burn_row const& row, std::size_t objective, double share)
+json::array windows(error_budget_row const& row, std::size_t objective, double share)
 {
     json::array all;
-    for (coordination::burn_window const& window : row.objectives[objective])
+    for (coordination::error_budget_window const& window : row.objectives[objective])
     {
         json::array slots;
-        for (coordination::burn_count const& slot : window.slots)
+        for (coordination::event_counts const& slot : window.slots)
         {
             slots.push_back(burn_rate(slot, share));
         }
@@ -42,12 +42,13 @@
     return all;
 }
 
-json::object row_json(burn_row const& row, burn_settings const& settings, burn_names const& names)
+json::object row_json(error_budget_row const& row, error_budget_settings const& settings,
+                      error_budget_names const& names)
 {
     json::object objectives;
     for (std::size_t i = 0; i < objective_count; ++i)
     {
-        objectives[settings.goals[i].name] = windows(row, i, settings.goals[i].share);
+        objectives[settings.targets[i].name] = windows(row, i, settings.targets[i].share);
     }
     return {{"service", names.service(row.key.service)},
             {"customer", names.customer(row.key.customer)},
@@ -84,7 +85,7 @@
 void write_quantiles(std::ostringstream& out, char const* name, std::string const& labels,
                      coordination::latency_quantiles const& from)
 {
-    if (from.known())
+    if (from.has_estimate())
     {
         out << name << "{" << labels << ",quantile=\"0.5\"} " << from.p50 << '\n';
         out << name << "{" << labels << ",quantile=\"0.95\"} " << from.p95 << '\n';
@@ -95,32 +96,35 @@
 
 } // namespace
 
-std::string burn_json(burn_report const& report, burn_settings const& settings,
-                      burn_names const& names)
+std::string error_budget_json(error_budget_report const& report,
+                              error_budget_settings const& settings,
+                              error_budget_names const& names)
 {
     json::array lengths;
     for (state::duration const window : settings.windows)
     {
         lengths.push_back(seconds(window));
     }
-    json::array goals;
-    for (coordination::objective_goal const& goal : settings.goals)
+    json::array targets;
+    for (coordination::objective_target const& target : settings.targets)
     {
-        goals.push_back(json::object{{"name", goal.name},
-                                     {"share", goal.share},
-                                     {"limit_ms", goal.limit / std::chrono::milliseconds{1}}});
+        targets.push_back(json::object{{"name", target.name},
+                                       {"share", target.share},
+                                       {"limit_ms", target.limit / std::chrono::milliseconds{1}}});
     }
     json::array rows;
-    for (burn_row const& row : report)
+    for (error_budget_row const& row : report)
     {
         rows.push_back(row_json(row, settings, names));
     }
-    return json::serialize(json::object{
-        {"windows_s", std::move(lengths)}, {"goals", std::move(goals)}, {"rows", std::move(rows)}});
+    return json::serialize(json::object{{"windows_s", std::move(lengths)},
+                                        {"goals", std::move(targets)},
+                                        {"rows", std::move(rows)}});
 }
 
-std::string burn_metrics(burn_report const& report, burn_settings const& settings,
-                         burn_names const& names)
+std::string error_budget_metrics(error_budget_report const& report,
+                                 error_budget_settings const& settings,
+                                 error_budget_names const& names)
 {
     std::ostringstream burn;
     std::ostringstream first;
@@ -128,18 +132,19 @@
     burn << "# TYPE plumdale_burn_rate gauge\n";
     first << "# TYPE plumdale_first_token_milliseconds summary\n";
     gap << "# TYPE plumdale_token_gap_milliseconds summary\n";
-    for (burn_row const& row : report)
+    for (error_budget_row const& row : report)
     {
         std::string const labels = "service=\"" + escaped(names.service(row.key.service)) +
                                    "\",customer=\"" + escaped(names.customer(row.key.customer)) +
                                    "\"";
         for (std::size_t i = 0; i < objective_count; ++i)
         {
-            for (std::size_t w = 0; w < coordination::burn_window_count; ++w)
+            for (std::size_t w = 0; w < coordination::error_budget_window_count; ++w)
             {
-                burn << "plumdale_burn_rate{" << labels << ",objective=\"" << settings.goals[i].name
-                     << "\",window_s=\"" << seconds(settings.windows[w]) << "\"} "
-                     << burn_rate(row.objectives[i][w].total, settings.goals[i].share) << '\n';
+                burn << "plumdale_burn_rate{" << labels << ",objective=\""
+                     << settings.targets[i].name << "\",window_s=\"" << seconds(settings.windows[w])
+                     << "\"} " << burn_rate(row.objectives[i][w].total, settings.targets[i].share)
+                     << '\n';
             }
         }
         write_quantiles(first, "plumdale_first_token_milliseconds", labels, row.first_token);
--- a/src/protocol/fleet_codec.cpp
+++ b/src/protocol/fleet_codec.cpp
@@ -1,4 +1,4 @@
-#include "datagram_seal.hpp"
+#include "datagram_mac.hpp"
 #include "fleet.capnp.h"
 
 #include <plumdale/protocol/fleet_codec.hpp>
@@ -15,10 +15,10 @@
 namespace
 {
 
-using coordination::fleet_news;
+using coordination::fleet_update;
 
 // Ten times the directory of the largest fleet, 11,000 upstreams at some 100 bytes.
-constexpr std::uint64_t most_words = 11'000ULL * 100 * 10 / sizeof(capnp::word);
+constexpr std::uint64_t max_words = 11'000ULL * 100 * 10 / sizeof(capnp::word);
 
 constexpr unsigned digest_bits = 64;
 constexpr unsigned bits_per_byte = 8;
@@ -34,7 +34,7 @@
     to.setCalls(from.calls);
     to.setTokens(from.tokens);
     to.setTokensAtEnd(from.tokens_at_end);
-    to.setUnread(from.unread);
+    to.setUnread(from.pending_prefill_tokens);
 }
 
 void write(wire::ServiceMember::Builder to, state::service_member const& from)
@@ -53,10 +53,10 @@
     to.setUsable(from.usable);
 }
 
-void write(wire::ReaderBeat::Builder to, coordination::reader_beat const& from)
+void write(wire::ReaderBeat::Builder to, coordination::reader_heartbeat const& from)
 {
     to.setReader(from.reader.value);
-    to.setBeat(from.beat);
+    to.setBeat(from.heartbeat);
 }
 
 void write(wire::Evacuation::Builder to, state::evacuation const& from)
@@ -103,7 +103,7 @@
             from.getTokensAtEnd(), from.getUnread()};
 }
 
-coordination::reader_beat read(wire::ReaderBeat::Reader from)
+coordination::reader_heartbeat read(wire::ReaderBeat::Reader from)
 {
     return {state::node_id{from.getReader()}, from.getBeat()};
 }
@@ -161,44 +161,44 @@
     return read;
 }
 
-fleet_news read_news(wire::FleetNews::Reader from)
+fleet_update read_update(wire::FleetNews::Reader from)
 {
-    fleet_news news;
-    news.sender = state::node_id{from.getSender()};
-    news.uptime = state::incarnation{from.getUptime()};
-    news.sequence = from.getSequence();
-    news.configuration = from.getConfiguration();
-    news.directory = from.getDirectory();
-    news.platform_age_ms = from.getPlatformAgeMs();
-    news.beat = from.getBeat();
-    news.spread = from.getSpread();
-    news.has_range = from.getPassesOn();
-    news.range = {state::node_id{from.getOrigin()}, from.getFirst(), from.getLast()};
-    news.whole = from.getWhole();
+    fleet_update update;
+    update.sender = state::node_id{from.getSender()};
+    update.incarnation_number = state::incarnation{from.getUptime()};
+    update.sequence = from.getSequence();
+    update.configuration = from.getConfiguration();
+    update.directory = from.getDirectory();
+    update.platform_age_ms = from.getPlatformAgeMs();
+    update.heartbeat = from.getBeat();
+    update.spread = from.getSpread();
+    update.has_range = from.getPassesOn();
+    update.range = {state::node_id{from.getOrigin()}, from.getFirst(), from.getLast()};
+    update.whole = from.getWhole();
     for (auto const each : from.getLoads())
     {
-        news.loads.push_back(read(each));
+        update.loads.push_back(read(each));
     }
     for (auto const each : from.getMembers())
     {
-        news.members.push_back(read(each));
+        update.members.push_back(read(each));
     }
     for (auto const each : from.getReaders())
     {
-        news.readers.push_back(read(each));
+        update.readers.push_back(read(each));
     }
-    news.evacuations = read_evacuations(from);
-    news.quarantine = from.getQuarantine();
-    news.asks_evidence = from.getAsksEvidence();
+    update.evacuations = read_evacuations(from);
+    update.quarantine = from.getQuarantine();
+    update.requests_evidence = from.getAsksEvidence();
     for (auto const each : from.getEvidence())
     {
-        news.evidence.push_back(read(each));
+        update.evidence.push_back(read(each));
     }
     for (auto const each : from.getLimits())
     {
-        news.limits.push_back(read(each));
+        update.limits.push_back(read(each));
     }
-    return news;
+    return update;
 }
 
 coordination::configuration_offer read_offer(wire::ConfigurationOffer::Reader from)
@@ -235,7 +235,7 @@
                                                 bytes.size()};
         kj::ArrayInputStream in{data};
         capnp::ReaderOptions options;
-        options.traversalLimitInWords = most_words;
+        options.traversalLimitInWords = max_words;
         capnp::PackedMessageReader reader{in, options};
         return read_root(reader.getRoot<Root>());
     }
@@ -247,53 +247,54 @@
 
 } // namespace
 
-std::string encode(fleet_news const& news, std::string_view fleet_key)
+std::string encode(fleet_update const& update, std::string_view fleet_key)
 {
     std::string const text = packed<wire::FleetNews>(
-        [&news](wire::FleetNews::Builder to)
+        [&update](wire::FleetNews::Builder to)
         {
-            to.setSender(news.sender.value);
-            to.setUptime(news.uptime.value);
-            to.setSequence(news.sequence);
-            to.setConfiguration(news.configuration);
-            to.setDirectory(news.directory);
-            to.setPlatformAgeMs(news.platform_age_ms);
-            to.setWhole(news.whole);
-            write_rows(to.initLoads(static_cast<unsigned int>(news.loads.size())), news.loads);
-            write_rows(to.initMembers(static_cast<unsigned int>(news.members.size())),
-                       news.members);
-            to.setBeat(news.beat);
-            to.setSpread(news.spread);
-            to.setPassesOn(news.has_range);
+            to.setSender(update.sender.value);
+            to.setUptime(update.incarnation_number.value);
+            to.setSequence(update.sequence);
+            to.setConfiguration(update.configuration);
+            to.setDirectory(update.directory);
+            to.setPlatformAgeMs(update.platform_age_ms);
+            to.setWhole(update.whole);
+            write_rows(to.initLoads(static_cast<unsigned int>(update.loads.size())), update.loads);
+            write_rows(to.initMembers(static_cast<unsigned int>(update.members.size())),
+                       update.members);
+            to.setBeat(update.heartbeat);
+            to.setSpread(update.spread);
+            to.setPassesOn(update.has_range);
             // Left out where they are not needed: most messages are passed on by nobody.
-            if (news.has_range)
+            if (update.has_range)
             {
-                to.setOrigin(news.range.origin.value);
-                to.setFirst(news.range.first);
-                to.setLast(news.range.last);
+                to.setOrigin(update.range.origin.value);
+                to.setFirst(update.range.first);
+                to.setLast(update.range.last);
             }
-            write_rows(to.initReaders(static_cast<unsigned int>(news.readers.size())),
-                       news.readers);
-            write_evacuations(to, news.evacuations);
-            to.setQuarantine(news.quarantine);
-            to.setAsksEvidence(news.asks_evidence);
-            write_rows(to.initEvidence(static_cast<unsigned int>(news.evidence.size())),
-                       news.evidence);
-            write_rows(to.initLimits(static_cast<unsigned int>(news.limits.size())), news.limits);
+            write_rows(to.initReaders(static_cast<unsigned int>(update.readers.size())),
+                       update.readers);
+            write_evacuations(to, update.evacuations);
+            to.setQuarantine(update.quarantine);
+            to.setAsksEvidence(update.requests_evidence);
+            write_rows(to.initEvidence(static_cast<unsigned int>(update.evidence.size())),
+                       update.evidence);
+            write_rows(to.initLimits(static_cast<unsigned int>(update.limits.size())),
+                       update.limits);
         });
-    return sealed({text.data(), text.size()}, fleet_key);
+    return with_mac({text.data(), text.size()}, fleet_key);
 }
 
-state::result<fleet_news> decode_fleet_news(std::span<char const> datagram,
-                                            std::string_view fleet_key)
+state::result<fleet_update> decode_fleet_update(std::span<char const> datagram,
+                                                std::string_view fleet_key)
 {
-    if (!is_sealed(datagram, fleet_key, {}))
+    if (!has_valid_mac(datagram, fleet_key, {}))
     {
         return malformed("wrong MAC of a peer's news");
     }
-    std::string_view const text{datagram.data() + datagram_seal_bytes,
-                                datagram.size() - datagram_seal_bytes};
-    return unpacked<wire::FleetNews, fleet_news>(text, read_news);
+    std::string_view const text{datagram.data() + datagram_mac_bytes,
+                                datagram.size() - datagram_mac_bytes};
+    return unpacked<wire::FleetNews, fleet_update>(text, read_update);
 }
 
 std::string encode(coordination::configuration_offer const& offer, std::string_view fleet_key)
@@ -311,18 +312,18 @@
             auto const patch = to.initPatch(static_cast<unsigned int>(offer.patch.size()));
             std::copy(offer.patch.begin(), offer.patch.end(), patch.asChars().begin());
         });
-    return sealed({text.data(), text.size()}, fleet_key);
+    return with_mac({text.data(), text.size()}, fleet_key);
 }
 
 state::result<coordination::configuration_offer>
 decode_configuration_offer(std::span<char const> datagram, std::string_view fleet_key)
 {
-    if (!is_sealed(datagram, fleet_key, {}))
+    if (!has_valid_mac(datagram, fleet_key, {}))
     {
         return malformed("wrong MAC of a peer's configuration");
     }
-    std::string_view const text{datagram.data() + datagram_seal_bytes,
-                                datagram.size() - datagram_seal_bytes};
+    std::string_view const text{datagram.data() + datagram_mac_bytes,
+                                datagram.size() - datagram_mac_bytes};
     return unpacked<wire::ConfigurationOffer, coordination::configuration_offer>(text, read_offer);
 }
 
@@ -355,7 +356,7 @@
         });
 }
 
-std::string encode(coordination::part_digests const& digests)
+std::string encode(coordination::bucket_digests const& digests)
 {
     std::string body;
     for (std::uint64_t const digest : digests)
@@ -368,9 +369,9 @@
     return body;
 }
 
-state::result<coordination::part_digests> decode_part_digests(std::string_view body)
+state::result<coordination::bucket_digests> decode_bucket_digests(std::string_view body)
 {
-    coordination::part_digests digests{};
+    coordination::bucket_digests digests{};
     constexpr std::size_t each = digest_bits / bits_per_byte;
     if (body.size() != digests.size() * each)
     {
--- a/src/protocol/forward_settings.cpp
+++ b/src/protocol/forward_settings.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr std::string_view forward_mode = "forward";
-constexpr std::size_t fleet_key_least = 16;
+constexpr std::size_t min_fleet_key_length = 16;
 constexpr std::uint64_t hour_ms = 3'600'000;
 constexpr double hour_s = 3'600.0;
 
@@ -23,7 +23,7 @@
     return error ? boost::json::value{} : value;
 }
 
-void read_repeats(object_reader& reader, coordination::allowance_terms& into)
+void read_retry_limit(object_reader& reader, coordination::fleet_retry_limit& into)
 {
     reader.real("repeat_ratio", into.ratio, 0.0, 10.0);
     reader.real("repeat_slack", into.slack, 0.0, 1e6);
@@ -74,11 +74,11 @@
     reader.seconds("grace_s", settings.grace, 0.0, hour_s);
     reader.milliseconds("event_delay_ms", settings.event_delay, 1, hour_ms);
     reader.real("load_news_bytes_per_s", settings.load_news_bytes_per_second, 1e3, 1e9);
-    read_repeats(reader, settings.repeats);
-    reader.refuse_unknown();
-    if (settings.fleet_key.size() < fleet_key_least)
+    read_retry_limit(reader, settings.repeats);
+    reader.reject_unknown_keys();
+    if (settings.fleet_key.size() < min_fleet_key_length)
     {
-        reader.wrong("fleet_key", "a short key", "at least 16 characters");
+        reader.add_error("fleet_key", "a short key", "at least 16 characters");
     }
     for (state::endpoint& seed : settings.seeds)
     {
--- a/src/protocol/generation_text.cpp
+++ b/src/protocol/generation_text.cpp
@@ -80,8 +80,8 @@
 
 std::string to_text(state::generation_id const& id)
 {
-    std::string text = "g-" + to_hex(id.owner.value) + '-' + to_hex(id.uptime.value) + '-' +
-                       to_hex(id.sequence) + '-';
+    std::string text = "g-" + to_hex(id.owner.value) + '-' + to_hex(id.incarnation_number.value) +
+                       '-' + to_hex(id.sequence) + '-';
     for (std::uint8_t const byte : id.mac)
     {
         append_byte(text, byte);
@@ -89,7 +89,7 @@
     return text;
 }
 
-std::optional<state::generation_id> parse_generation(std::string_view text)
+std::optional<state::generation_id> parse_generation_id(std::string_view text)
 {
     if (!text.starts_with("g-"))
     {
@@ -97,15 +97,15 @@
     }
     text.remove_prefix(2);
     auto const owner = take_hex(text, '-');
-    auto const uptime = take_hex(text, '-');
+    auto const incarnation_number = take_hex(text, '-');
     auto const sequence = take_hex(text, '-');
     state::generation_id id;
-    if (!owner || !uptime || !sequence || !parse_mac(text, id.mac))
+    if (!owner || !incarnation_number || !sequence || !parse_mac(text, id.mac))
     {
         return std::nullopt;
     }
     id.owner = state::node_id{*owner};
-    id.uptime = state::incarnation{*uptime};
+    id.incarnation_number = state::incarnation{*incarnation_number};
     id.sequence = *sequence;
     return id;
 }
@@ -145,7 +145,7 @@
         id.upstream = state::upstream_id{*upstream};
         text = text.substr(0, at);
     }
-    auto const generation = parse_generation(text);
+    auto const generation = parse_generation_id(text);
     if (!generation)
     {
         return std::nullopt;
--- a/src/protocol/http_reader.cpp
+++ b/src/protocol/http_reader.cpp
@@ -22,7 +22,7 @@
 }
 
 /// \brief What both parsers collect.
-struct collected
+struct parsed_message
 {
     message_head head;
     std::string body;
@@ -30,10 +30,10 @@
 
 /// \brief Beast's parser with all fields kept as they were sent.
 template <bool IsRequest>
-class collecting_parser : public http::basic_parser<IsRequest>
+class message_parser : public http::basic_parser<IsRequest>
 {
 public:
-    explicit collecting_parser(collected& into) : into_{into} {}
+    explicit message_parser(parsed_message& into) : into_{into} {}
 
 private:
     void on_request_impl(http::verb /*verb*/, boost::beast::string_view method,
@@ -84,11 +84,11 @@
 
     void on_finish_impl(error_code& /*error*/) override {}
 
-    collected& into_;
+    parsed_message& into_;
 };
 
 template <class Parser>
-void prepare(Parser& parser, http_reader::limits bounds, bool without_body)
+void configure_parser(Parser& parser, http_reader::limits bounds, bool without_body)
 {
     parser.eager(true);
     parser.header_limit(bounds.head_bytes);
@@ -105,24 +105,24 @@
     {
         if (role == message_role::request)
         {
-            request_.emplace(collected_);
-            prepare(*request_, bounds, false);
+            request_.emplace(message_);
+            configure_parser(*request_, bounds, false);
         }
         else
         {
-            answer_.emplace(collected_);
-            prepare(*answer_, bounds, role == message_role::answer_without_body);
+            answer_.emplace(message_);
+            configure_parser(*answer_, bounds, role == message_role::answer_without_body);
         }
     }
 
     void append(std::string_view bytes)
     {
         begun_ = begun_ || !bytes.empty();
-        rest_.append(bytes);
+        unconsumed_.append(bytes);
         request_ ? feed(*request_) : feed(*answer_);
     }
 
-    void append_end()
+    void append_eof()
     {
         if (answer_ && progress_ == read_progress::body && answer_->need_eof())
         {
@@ -132,8 +132,8 @@
         }
     }
 
-    collected collected_;
-    std::string rest_;
+    parsed_message message_;
+    std::string unconsumed_;
     read_progress progress_ = read_progress::head;
     body_framing framing_ = body_framing::none;
     bool begun_ = false;
@@ -144,11 +144,11 @@
     void feed(Parser& parser)
     {
         error_code error;
-        while (!rest_.empty() && !parser.is_done())
+        while (!unconsumed_.empty() && !parser.is_done())
         {
             std::size_t const taken =
-                parser.put(boost::asio::buffer(rest_.data(), rest_.size()), error);
-            rest_.erase(0, taken);
+                parser.put(boost::asio::buffer(unconsumed_.data(), unconsumed_.size()), error);
+            unconsumed_.erase(0, taken);
             if (error || taken == 0)
             {
                 break;
@@ -162,13 +162,13 @@
         }
         if (parser.is_header_done())
         {
-            note_framing(parser);
+            set_framing(parser);
             progress_ = parser.is_done() ? read_progress::whole : read_progress::body;
         }
     }
 
     template <class Parser>
-    void note_framing(Parser const& parser)
+    void set_framing(Parser const& parser)
     {
         if (parser.chunked())
         {
@@ -184,8 +184,8 @@
         }
     }
 
-    std::optional<collecting_parser<true>> request_;
-    std::optional<collecting_parser<false>> answer_;
+    std::optional<message_parser<true>> request_;
+    std::optional<message_parser<false>> answer_;
 };
 
 http_reader::http_reader(message_role role, limits bounds)
@@ -206,9 +206,9 @@
     return implementation_->progress_;
 }
 
-read_progress http_reader::append_end()
+read_progress http_reader::append_eof()
 {
-    implementation_->append_end();
+    implementation_->append_eof();
     return implementation_->progress_;
 }
 
@@ -224,17 +224,17 @@
 
 message_head const& http_reader::head() const noexcept
 {
-    return implementation_->collected_.head;
+    return implementation_->message_.head;
 }
 
 std::string http_reader::take_body()
 {
-    return std::exchange(implementation_->collected_.body, {});
+    return std::exchange(implementation_->message_.body, {});
 }
 
-std::string_view http_reader::rest() const noexcept
+std::string_view http_reader::unconsumed() const noexcept
 {
-    return implementation_->rest_;
+    return implementation_->unconsumed_;
 }
 
 bool http_reader::has_begun() const noexcept
--- a/src/protocol/link_codec.cpp
+++ b/src/protocol/link_codec.cpp
@@ -21,9 +21,9 @@
 using coordination::relay_token;
 using state::result;
 
-state::failure malformed(std::string_view what)
+state::failure malformed(std::string_view reason)
 {
-    return {state::error_kind::invalid_request, "peer link: " + std::string{what}};
+    return {state::error_kind::invalid_request, "peer link: " + std::string{reason}};
 }
 
 capnp::Data::Reader data_of(std::string_view text)
@@ -58,7 +58,7 @@
 void write(wire::LinkIdentity::Builder to, state::generation_id const& id)
 {
     to.setOwner(id.owner.value);
-    to.setUptime(id.uptime.value);
+    to.setUptime(id.incarnation_number.value);
     to.setSequence(id.sequence);
     to.setMac(data_of(id.mac));
 }
@@ -95,7 +95,7 @@
     void operator()(state::request const& request)
     {
         auto to = frame_.initRequest();
-        to.setOperation(static_cast<std::uint8_t>(request.what));
+        to.setOperation(static_cast<std::uint8_t>(request.op));
         to.setKind(static_cast<std::uint8_t>(request.kind));
         to.setRepeatable(request.repeatable);
         to.setStreamed(request.streamed);
@@ -153,13 +153,13 @@
         to.setNextIndex(refused.next_index);
     }
 
-    void operator()(caller_news news)
+    void operator()(caller_event event)
     {
-        if (news == caller_news::gone)
+        if (event == caller_event::disconnected)
         {
             return frame_.setGone();
         }
-        news == caller_news::blocked ? frame_.setBlocked() : frame_.setReady();
+        event == caller_event::blocked ? frame_.setBlocked() : frame_.setReady();
     }
 
     void operator()(state::content_ref const& wanted)
@@ -196,7 +196,7 @@
 bool read(wire::LinkIdentity::Reader from, state::generation_id& into)
 {
     into.owner = state::node_id{from.getOwner()};
-    into.uptime = state::incarnation{from.getUptime()};
+    into.incarnation_number = state::incarnation{from.getUptime()};
     into.sequence = from.getSequence();
     // A default identity has no MAC of its own on the wire.
     return read_bytes(from.getMac(), into.mac) || (!into && from.getMac().size() == 0);
@@ -219,14 +219,14 @@
 
 result<link_body> read_request(wire::LinkRequest::Reader from, state::time_point now)
 {
-    constexpr std::int64_t longest_ms = 86'400'000;
+    constexpr std::int64_t max_deadline_ms = 86'400'000;
     state::request request;
     if (from.getOperation() > static_cast<std::uint8_t>(state::operation::cancel) ||
         from.getKind() > static_cast<std::uint8_t>(state::work_kind::call))
     {
         return malformed("operation or kind");
     }
-    request.what = static_cast<state::operation>(from.getOperation());
+    request.op = static_cast<state::operation>(from.getOperation());
     request.kind = static_cast<state::work_kind>(from.getKind());
     request.repeatable = from.getRepeatable();
     request.streamed = from.getStreamed();
@@ -239,7 +239,7 @@
     request.model = state::model_id{from.getModel()};
     request.upstream_hint = state::upstream_id{from.getUpstreamHint()};
     request.next_index = from.getNextIndex();
-    request.key = state::key_id{from.getKey()};
+    request.key = state::idempotency_key_id{from.getKey()};
     request.attempt = from.getAttempt();
     request.prompt_tokens = from.getPromptTokens();
     request.max_tokens = from.getMaxTokens();
@@ -250,7 +250,7 @@
     if (from.getDeadlineMs() >= 0)
     {
         request.deadline =
-            now + std::chrono::milliseconds{std::min(from.getDeadlineMs(), longest_ms)};
+            now + std::chrono::milliseconds{std::min(from.getDeadlineMs(), max_deadline_ms)};
     }
     if (from.getHasBody())
     {
@@ -343,11 +343,11 @@
     case wire::LinkFrame::REFUSED:
         return read_refused(frame.getRefused(), caller);
     case wire::LinkFrame::GONE:
-        return link_body{caller_news::gone};
+        return link_body{caller_event::disconnected};
     case wire::LinkFrame::BLOCKED:
-        return link_body{caller_news::blocked};
+        return link_body{caller_event::blocked};
     case wire::LinkFrame::READY:
-        return link_body{caller_news::ready};
+        return link_body{caller_event::ready};
     case wire::LinkFrame::CONTENT_WANTED:
         return link_body{read_ref(frame.getContentWanted())};
     case wire::LinkFrame::CONTENT:
--- a/src/protocol/message_head.cpp
+++ b/src/protocol/message_head.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-bool same_name(std::string_view a, std::string_view b) noexcept
+bool equals_ignore_case(std::string_view a, std::string_view b) noexcept
 {
     return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(),
                                               [](char x, char y) { return lower(x) == lower(y); });
@@ -44,7 +44,7 @@
     while (!list.empty())
     {
         std::size_t const comma = std::min(list.find(','), list.size());
-        if (same_name(trimmed(list.substr(0, comma)), token))
+        if (equals_ignore_case(trimmed(list.substr(0, comma)), token))
         {
             return true;
         }
@@ -55,27 +55,27 @@
 
 std::string const* message_head::find(std::string_view name) const noexcept
 {
-    auto const found =
-        std::find_if(fields.begin(), fields.end(),
-                     [name](header_field const& field) { return same_name(field.name, name); });
+    auto const found = std::find_if(fields.begin(), fields.end(),
+                                    [name](header_field const& field)
+                                    { return equals_ignore_case(field.name, name); });
     return found == fields.end() ? nullptr : &found->value;
 }
 
 std::size_t message_head::count(std::string_view name) const noexcept
 {
-    return static_cast<std::size_t>(std::count_if(fields.begin(), fields.end(),
-                                                  [name](header_field const& field)
-                                                  { return same_name(field.name, name); }));
+    return static_cast<std::size_t>(std::count_if(
+        fields.begin(), fields.end(),
+        [name](header_field const& field) { return equals_ignore_case(field.name, name); }));
 }
 
 bool is_hop_by_hop(message_head const& head, std::string_view name) noexcept
 {
     bool const standard =
         std::any_of(hop_by_hop_names.begin(), hop_by_hop_names.end(),
-                    [name](std::string_view each) { return same_name(each, name); });
+                    [name](std::string_view each) { return equals_ignore_case(each, name); });
     return standard || std::any_of(head.fields.begin(), head.fields.end(),
                                    [name](header_field const& field) {
-                                       return same_name(field.name, "Connection") &&
+                                       return equals_ignore_case(field.name, "Connection") &&
                                               has_token(field.value, name);
                                    });
 }
--- a/src/protocol/object_reader.hpp
+++ b/src/protocol/object_reader.hpp
@@ -35,13 +35,13 @@
         {
             if (!value->is_string() || value->as_string().empty())
             {
-                return wrong(name, *value, allowed);
+                return add_error(name, *value, allowed);
             }
             into = value->as_string();
         }
     }
 
-    void texts(std::string_view name, std::vector<std::string>& into)
+    void strings(std::string_view name, std::vector<std::string>& into)
     {
         boost::json::value const* const value = find(name);
         if (value == nullptr)
@@ -51,13 +51,13 @@
         bool const is_list = value->is_array();
         if (!is_list)
         {
-            return wrong(name, "no list", "a list of strings");
+            return add_error(name, "no list", "a list of strings");
         }
         for (boost::json::value const& each : value->as_array())
         {
             if (!each.is_string())
             {
-                return wrong(name, "no string", "a list of strings");
+                return add_error(name, "no string", "a list of strings");
             }
             into.emplace_back(std::string_view{each.as_string()});
         }
@@ -74,7 +74,7 @@
                 allowed += ' ';
                 allowed += each;
             }
-            wrong(name, boost::json::string_view{into}, allowed);
+            add_error(name, boost::json::string_view{into}, allowed);
         }
     }
 
@@ -87,7 +87,7 @@
                 into = *parsed;
                 return;
             }
-            wrong(name, *value, "ip:port");
+            add_error(name, *value, "ip:port");
         }
     }
 
@@ -100,57 +100,58 @@
         }
         if (!value->is_array())
         {
-            return wrong(name, *value, "a list of ip:port");
+            return add_error(name, *value, "a list of ip:port");
         }
         for (boost::json::value const& each : value->as_array())
         {
             auto const parsed = endpoint_of(each);
             if (!parsed)
             {
-                return wrong(name, each, "ip:port");
+                return add_error(name, each, "ip:port");
             }
             into.push_back(*parsed);
         }
     }
 
     template <class Number>
-    void number(std::string_view name, Number& into, std::uint64_t least, std::uint64_t most)
+    void number(std::string_view name, Number& into, std::uint64_t minimum, std::uint64_t maximum)
     {
-        if (auto const value = checked_number(name, least, most))
+        if (auto const value = checked_number(name, minimum, maximum))
         {
             into = static_cast<Number>(*value);
         }
     }
 
-    void milliseconds(std::string_view name, state::duration& into, std::uint64_t least,
-                      std::uint64_t most)
+    void milliseconds(std::string_view name, state::duration& into, std::uint64_t minimum,
+                      std::uint64_t maximum)
     {
-        if (auto const value = checked_number(name, least, most))
+        if (auto const value = checked_number(name, minimum, maximum))
         {
             into = std::chrono::milliseconds{*value};
         }
     }
 
-    void real(std::string_view name, double& into, double least, double most)
+    void real(std::string_view name, double& into, double minimum, double maximum)
     {
         boost::json::value const* const value = find(name);
         if (value == nullptr)
         {
             return;
         }
-        double const number = value->is_number() ? value->to_number<double>() : least - 1.0;
-        if (number < least || number > most)
+        double const number = value->is_number() ? value->to_number<double>() : minimum - 1.0;
+        if (number < minimum || number > maximum)
         {
-            return wrong(name, *value,
-                         "a number of " + std::to_string(least) + " to " + std::to_string(most));
+            return add_error(name, *value,
+                             "a number of " + std::to_string(minimum) + " to " +
+                                 std::to_string(maximum));
         }
         into = number;
     }
 
-    void seconds(std::string_view name, state::duration& into, double least, double most)
+    void seconds(std::string_view name, state::duration& into, double minimum, double maximum)
     {
         double number = std::chrono::duration<double>(into).count();
-        real(name, number, least, most);
+        real(name, number, minimum, maximum);
         into = std::chrono::duration_cast<state::duration>(std::chrono::duration<double>{number});
     }
 
@@ -162,19 +163,19 @@
         }
     }
 
-    void wrong(std::string_view name, boost::json::value const& found, std::string_view allowed)
+    void add_error(std::string_view name, boost::json::value const& found, std::string_view allowed)
     {
         errors_.push_back(
             {"/" + std::string{name}, boost::json::serialize(found), std::string{allowed}});
     }
 
     /// \brief Notes each key that no call asked for, with the nearest known name.
-    void refuse_unknown()
+    void reject_unknown_keys()
     {
         for (auto const& member : object_)
         {
             std::string_view const key{member.key().data(), member.key().size()};
-            if (std::find(known_.begin(), known_.end(), key) == known_.end())
+            if (std::find(known_keys_.begin(), known_keys_.end(), key) == known_keys_.end())
             {
                 errors_.push_back({"/" + std::string{key}, "an unknown key",
                                    "the nearest known key is " + std::string{nearest(key)}});
@@ -185,7 +186,7 @@
 private:
     boost::json::value const* find(std::string_view name)
     {
-        known_.push_back(name);
+        known_keys_.push_back(name);
         return object_.if_contains({name.data(), name.size()});
     }
 
@@ -195,8 +196,8 @@
                                  : std::nullopt;
     }
 
-    std::optional<std::uint64_t> checked_number(std::string_view name, std::uint64_t least,
-                                                std::uint64_t most)
+    std::optional<std::uint64_t> checked_number(std::string_view name, std::uint64_t minimum,
+                                                std::uint64_t maximum)
     {
         boost::json::value const* const value = find(name);
         if (value == nullptr)
@@ -205,10 +206,11 @@
         }
         boost::json::error_code error;
         auto const number = value->is_number() ? value->to_number<std::uint64_t>(error) : 0;
-        if (!value->is_number() || error || number < least || number > most)
+        if (!value->is_number() || error || number < minimum || number > maximum)
         {
-            wrong(name, *value,
-                  "a whole number of " + std::to_string(least) + " to " + std::to_string(most));
+            add_error(name, *value,
+                      "a whole number of " + std::to_string(minimum) + " to " +
+                          std::to_string(maximum));
             return std::nullopt;
         }
         return number;
@@ -238,14 +240,14 @@
 
     [[nodiscard]] std::string_view nearest(std::string_view key) const
     {
-        return *std::min_element(known_.begin(), known_.end(),
+        return *std::min_element(known_keys_.begin(), known_keys_.end(),
                                  [key](std::string_view a, std::string_view b)
                                  { return distance(key, a) < distance(key, b); });
     }
 
     boost::json::object const& object_;
     std::vector<settings_error>& errors_;
-    std::vector<std::string_view> known_;
+    std::vector<std::string_view> known_keys_;
 };
 
 } // namespace plumdale::protocol
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -1,4 +1,4 @@
-#include "datagram_seal.hpp"
+#include "datagram_mac.hpp"
 #include "peer.capnp.h"
 
 #include <plumdale/protocol/peer_codec.hpp>
@@ -20,8 +20,8 @@
 using coordination::peer_message;
 using coordination::peer_message_kind;
 
-constexpr std::size_t most_words = peer_message::max_bytes / sizeof(capnp::word);
-constexpr auto last_kind = static_cast<std::uint16_t>(peer_message_kind::news);
+constexpr std::size_t max_words = peer_message::max_bytes / sizeof(capnp::word);
+constexpr auto last_kind = static_cast<std::uint16_t>(peer_message_kind::update);
 constexpr auto last_health = static_cast<std::uint16_t>(state::member_health::dead);
 
 [[nodiscard]] state::failure malformed(char const* detail)
@@ -35,7 +35,7 @@
 {
     to.setId(from.id.value);
     to.setZone(from.zone.value);
-    to.setUptime(from.uptime.value);
+    to.setUptime(from.incarnation_number.value);
     to.setRefutation(from.refutation);
     to.setHealth(static_cast<std::uint16_t>(from.health));
     to.setDatagramAddress(from.datagrams.address);
@@ -47,7 +47,7 @@
 void write(wire::LeavingMark::Builder to, coordination::leaving_mark const& from)
 {
     to.setUpstream(from.upstream.value);
-    to.setUptime(from.uptime.value);
+    to.setUptime(from.incarnation_number.value);
 }
 
 void write(wire::ContentRef::Builder to, state::content_ref const& from)
@@ -166,21 +166,21 @@
            from.getLoads().size() <= peer_message::max_loads;
 }
 
-[[nodiscard]] bool is_known(wire::Member::Reader from)
+[[nodiscard]] bool is_valid(wire::Member::Reader from)
 {
     return from.getHealth() <= last_health && from.getId() != 0;
 }
 
-[[nodiscard]] bool has_known_numbers(wire::PeerMessage::Reader from)
+[[nodiscard]] bool has_known_enum_values(wire::PeerMessage::Reader from)
 {
     for (auto const each : from.getMembers())
     {
-        if (!is_known(each))
+        if (!is_valid(each))
         {
             return false;
         }
     }
-    return from.getKind() <= last_kind && is_known(from.getSender());
+    return from.getKind() <= last_kind && is_valid(from.getSender());
 }
 
 [[nodiscard]] state::result<peer_message> read(wire::PeerMessage::Reader from)
@@ -189,7 +189,7 @@
     {
         return malformed("a list of a peer message is too long");
     }
-    if (!has_known_numbers(from))
+    if (!has_known_enum_values(from))
     {
         return malformed("unknown number in a peer message");
     }
@@ -215,33 +215,33 @@
 
 std::string encode(peer_message const& message, std::string_view fleet_key)
 {
-    std::array<capnp::word, most_words> scratch{};
+    std::array<capnp::word, max_words> scratch{};
     capnp::MallocMessageBuilder builder{kj::arrayPtr(scratch.data(), scratch.size())};
     write(builder.initRoot<wire::PeerMessage>(), message);
     auto const segment = builder.getSegmentsForOutput()[0].asChars();
-    return sealed({segment.begin(), segment.size()}, fleet_key);
+    return with_mac({segment.begin(), segment.size()}, fleet_key);
 }
 
 state::result<peer_message> decode_peer_message(std::span<char const> datagram,
                                                 std::string_view fleet_key,
-                                                std::span<std::string const> accepted,
+                                                std::span<std::string const> accepted_keys,
                                                 coordination::safeguard_set safeguards)
 {
-    bool const sized = datagram.size() > datagram_seal_bytes &&
-                       datagram.size() <= peer_message::max_bytes &&
-                       (datagram.size() - datagram_seal_bytes) % sizeof(capnp::word) == 0;
-    if (!sized)
+    bool const has_valid_size = datagram.size() > datagram_mac_bytes &&
+                                datagram.size() <= peer_message::max_bytes &&
+                                (datagram.size() - datagram_mac_bytes) % sizeof(capnp::word) == 0;
+    if (!has_valid_size)
     {
         return malformed("wrong size of a peer message");
     }
-    std::span<char const> const text = datagram.subspan(datagram_seal_bytes);
+    std::span<char const> const text = datagram.subspan(datagram_mac_bytes);
     // Before anything is parsed: whoever does not hold the fleet key reaches no parser.
-    bool const genuine = is_sealed(datagram, fleet_key, accepted);
-    if (!genuine && safeguards.has(coordination::safeguard::datagram_mac))
+    bool const is_authentic = has_valid_mac(datagram, fleet_key, accepted_keys);
+    if (!is_authentic && safeguards.has(coordination::safeguard::datagram_mac))
     {
         return malformed("wrong MAC of a peer message");
     }
-    std::array<capnp::word, most_words> words{};
+    std::array<capnp::word, max_words> words{};
     std::memcpy(words.data(), text.data(), text.size());
     kj::ArrayPtr<capnp::word const> const segment{words.data(), text.size() / sizeof(capnp::word)};
     std::array<kj::ArrayPtr<capnp::word const>, 1> const segments{segment};
--- a/src/protocol/platform_codec.cpp
+++ b/src/protocol/platform_codec.cpp
@@ -19,7 +19,7 @@
 using coordination::control_event;
 using state::result;
 
-constexpr std::uint64_t longest_ms = 3'600'000;
+constexpr std::uint64_t max_duration_ms = 3'600'000;
 constexpr std::string_view preset_prefix = "presets/";
 
 state::failure invalid(std::string detail)
@@ -72,7 +72,7 @@
 {
     auto const default_ms = std::chrono::duration_cast<std::chrono::milliseconds>(otherwise);
     return std::chrono::milliseconds{
-        number_or(object, name, static_cast<std::uint64_t>(default_ms.count()), longest_ms)};
+        number_or(object, name, static_cast<std::uint64_t>(default_ms.count()), max_duration_ms)};
 }
 
 // -- presets
@@ -101,7 +101,7 @@
     BOOST_OUTCOME_TRY(auto const object, object_of(value));
     BOOST_OUTCOME_TRY(auto const model, text_of(object, "model"));
     state::engine_assignment assignment;
-    assignment.model = state::named<state::model_id>(model);
+    assignment.model = state::id_from_name<state::model_id>(model);
     BOOST_OUTCOME_TRY(assignment.role, role_of(object));
     assignment.percent = static_cast<std::uint32_t>(number_or(object, "percent", 100, 100));
     if (boost::json::string const* const version = find_string(object, "version"))
@@ -154,7 +154,7 @@
     {
         return invalid("key_sha256: 64 hexadecimal digits are wanted");
     }
-    customer.id = state::named<state::customer_id>(customer.name);
+    customer.id = state::id_from_name<state::customer_id>(customer.name);
     customer.api_key = *digest;
     customer.weight = real_or(object, "weight", customer.weight);
     customer.token_rate_limit = real_or(object, "token_rate_limit", 0.0);
@@ -189,7 +189,8 @@
         {
             return invalid("key_sha256: 64 hexadecimal digits are wanted");
         }
-        operators.push_back({state::named<state::operator_id>(name), std::move(name), *digest});
+        operators.push_back(
+            {state::id_from_name<state::operator_id>(name), std::move(name), *digest});
     }
     return operators;
 }
@@ -220,11 +221,11 @@
     boost::json::string const* const kind = find_string(object, "kind");
     bool const is_service = kind != nullptr && *kind == "service";
     upstream.kind = is_service ? state::upstream_kind::service : state::upstream_kind::engine;
-    upstream.id = state::named<state::upstream_id>(to_text(upstream.address));
-    upstream.model = state::named<state::model_id>(model);
+    upstream.id = state::id_from_name<state::upstream_id>(to_text(upstream.address));
+    upstream.model = state::id_from_name<state::model_id>(model);
     upstream.model_name = model;
-    upstream.zone = state::named<state::zone_id>(zone);
-    upstream.uptime = state::incarnation{number_or(object, "uptime", 0)};
+    upstream.zone = state::id_from_name<state::zone_id>(zone);
+    upstream.incarnation_number = state::incarnation{number_or(object, "uptime", 0)};
     upstream.leaving = flag_or(object, "leaving", false);
     upstream.fences_orders = flag_or(object, "fences_orders", true);
     boost::json::string const* const name = find_string(object, "name");
@@ -256,8 +257,8 @@
     if (key == "switch")
     {
         BOOST_OUTCOME_TRY(auto const preset, text_of(object, "preset"));
-        events.emplace_back(
-            coordination::switch_published{revision, state::named<state::preset_id>(preset)});
+        events.emplace_back(coordination::switch_published{
+            revision, state::id_from_name<state::preset_id>(preset)});
     }
     else if (key == "customers")
     {
--- a/src/protocol/role_text.cpp
+++ b/src/protocol/role_text.cpp
@@ -16,7 +16,7 @@
     return names[static_cast<std::size_t>(role)];
 }
 
-std::optional<state::engine_role> role_named(std::string_view name) noexcept
+std::optional<state::engine_role> role_from_name(std::string_view name) noexcept
 {
     for (std::size_t i = 0; i < names.size(); ++i)
     {
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr std::size_t fleet_key_least = 16;
+constexpr std::size_t min_fleet_key_length = 16;
 
 constexpr std::uint64_t hour_ms = 3'600'000;
 constexpr std::uint64_t day_ms = 24 * hour_ms;
@@ -24,8 +24,8 @@
 {
     std::string_view name;
     state::duration coordination::node_settings::*member;
-    std::uint64_t least;
-    std::uint64_t most;
+    std::uint64_t minimum;
+    std::uint64_t maximum;
 };
 
 using node = coordination::node_settings;
@@ -47,7 +47,7 @@
     {"switch_wait_ms", &node::switch_wait, 10, hour_ms},
     {"catch_up_wait_ms", &node::catch_up_wait, 0, hour_ms},
     {"idle_read_interval_ms", &node::idle_read_interval, 10, day_ms},
-    {"drain_limit_ms", &node::drain_bound, 0, day_ms},
+    {"drain_limit_ms", &node::drain_limit, 0, day_ms},
     {"drain_settle_ms", &node::drain_settle, 0, hour_ms},
     {"weight_load_time_ms", &node::weight_load_time, 0, hour_ms},
     {"order_interval_ms", &node::order_interval, 10, hour_ms},
@@ -65,8 +65,8 @@
 {
     std::string_view name;
     std::uint32_t coordination::node_settings::*member;
-    std::uint64_t least;
-    std::uint64_t most;
+    std::uint64_t minimum;
+    std::uint64_t maximum;
 };
 
 constexpr std::array<count_row, 12> counts{{
@@ -87,17 +87,17 @@
 void read_node(object_reader& reader, coordination::node_settings& into)
 {
     reader.text("fleet_key", into.fleet_key);
-    reader.texts("accepted_fleet_keys", into.accepted_fleet_keys);
+    reader.strings("accepted_fleet_keys", into.accepted_fleet_keys);
     reader.endpoint("datagrams", into.self.datagrams);
     reader.endpoint("streams", into.self.streams);
     reader.endpoints("seeds", into.seeds);
     for (duration_row const& row : durations)
     {
-        reader.milliseconds(row.name, into.*row.member, row.least, row.most);
+        reader.milliseconds(row.name, into.*row.member, row.minimum, row.maximum);
     }
     for (count_row const& row : counts)
     {
-        reader.number(row.name, into.*row.member, row.least, row.most);
+        reader.number(row.name, into.*row.member, row.minimum, row.maximum);
     }
 }
 
@@ -114,20 +114,20 @@
 
 void check_keys(object_reader& reader, daemon_settings const& settings)
 {
-    if (settings.node.fleet_key.size() < fleet_key_least)
+    if (settings.node.fleet_key.size() < min_fleet_key_length)
     {
-        reader.wrong("fleet_key", "a short key", "at least 16 characters");
+        reader.add_error("fleet_key", "a short key", "at least 16 characters");
     }
     for (std::string const& key : settings.node.accepted_fleet_keys)
     {
-        if (key.size() < fleet_key_least)
+        if (key.size() < min_fleet_key_length)
         {
-            reader.wrong("accepted_fleet_keys", "a short key", "at least 16 characters each");
+            reader.add_error("accepted_fleet_keys", "a short key", "at least 16 characters each");
         }
     }
     if (!settings.operator_key_sha256.empty() && !parse_digest(settings.operator_key_sha256))
     {
-        reader.wrong("operator_key_sha256", "a malformed digest", "64 hexadecimal digits");
+        reader.add_error("operator_key_sha256", "a malformed digest", "64 hexadecimal digits");
     }
 }
 
@@ -162,10 +162,11 @@
     reader.choice("policy", settings.policy, policies);
     read_node(reader, settings.node);
     read_limits(reader, settings);
-    reader.refuse_unknown();
+    reader.reject_unknown_keys();
     check_keys(reader, settings);
-    settings.node.self.zone = state::named<state::zone_id>(settings.zone);
-    settings.node.self.id = state::named<state::node_id>(to_text(settings.node.self.datagrams));
+    settings.node.self.zone = state::id_from_name<state::zone_id>(settings.zone);
+    settings.node.self.id =
+        state::id_from_name<state::node_id>(to_text(settings.node.self.datagrams));
     return settings;
 }
 
--- a/src/protocol/text_patch.cpp
+++ b/src/protocol/text_patch.cpp
@@ -14,13 +14,13 @@
 namespace
 {
 
-constexpr int level = 3;
+constexpr int compression_level = 3;
 // The window has to reach back over the whole base; its bounds are the library's least and what a
 // configuration of the greatest size needs.
-constexpr int least_window_log = 10;
-constexpr int most_window_log = 25;
+constexpr int min_window_log = 10;
+constexpr int max_window_log = 25;
 
-struct free_compressor
+struct compressor_deleter
 {
     void operator()(ZSTD_CCtx* context) const noexcept
     {
@@ -28,7 +28,7 @@
     }
 };
 
-struct free_decompressor
+struct decompressor_deleter
 {
     void operator()(ZSTD_DCtx* context) const noexcept
     {
@@ -38,8 +38,7 @@
 
 int window_log_for(std::size_t bytes)
 {
-    return std::clamp(static_cast<int>(std::bit_width(bytes)) + 1, least_window_log,
-                      most_window_log);
+    return std::clamp(static_cast<int>(std::bit_width(bytes)) + 1, min_window_log, max_window_log);
 }
 
 state::failure malformed(char const* detail)
@@ -51,8 +50,8 @@
 
 std::string make_patch(std::string_view base, std::string_view text)
 {
-    std::unique_ptr<ZSTD_CCtx, free_compressor> const context{ZSTD_createCCtx()};
-    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, level);
+    std::unique_ptr<ZSTD_CCtx, compressor_deleter> const context{ZSTD_createCCtx()};
+    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, compression_level);
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog,
                            window_log_for(base.size() + text.size()));
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_enableLongDistanceMatching, 1);
@@ -65,16 +64,16 @@
 }
 
 state::result<std::string> apply_patch(std::string_view base, std::string_view patch,
-                                       std::size_t most_bytes)
+                                       std::size_t max_bytes)
 {
     unsigned long long const size = ZSTD_getFrameContentSize(patch.data(), patch.size());
     bool const is_known = size != ZSTD_CONTENTSIZE_ERROR && size != ZSTD_CONTENTSIZE_UNKNOWN;
-    if (!is_known || size > most_bytes)
+    if (!is_known || size > max_bytes)
     {
         return malformed("a patch of no size, or of too great a text");
     }
-    std::unique_ptr<ZSTD_DCtx, free_decompressor> const context{ZSTD_createDCtx()};
-    ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, most_window_log);
+    std::unique_ptr<ZSTD_DCtx, decompressor_deleter> const context{ZSTD_createDCtx()};
+    ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, max_window_log);
     ZSTD_DCtx_refPrefix(context.get(), base.data(), base.size());
     std::string text(static_cast<std::size_t>(size), '\0');
     std::size_t const read =
--- a/src/state/error_kind.cpp
+++ b/src/state/error_kind.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr std::size_t kinds = static_cast<std::size_t>(error_kind::count);
+constexpr std::size_t kind_count = static_cast<std::size_t>(error_kind::count);
 using enum run_claim;
 
-constexpr std::array<error_answer, kinds> table{{
+constexpr std::array<error_answer, kind_count> table{{
     {error_kind::invalid_request, "invalid_request", 400, not_run, false, 2,
      "The request is malformed."},
     {error_kind::request_too_large, "request_too_large", 413, not_run, false, 2,
@@ -62,9 +62,9 @@
     {error_kind::internal, "internal", 500, may_have_run, false, 13, "Internal error."},
 }};
 
-constexpr bool rows_follow_the_kinds()
+constexpr bool rows_match_kinds()
 {
-    for (std::size_t i = 0; i < kinds; ++i)
+    for (std::size_t i = 0; i < kind_count; ++i)
     {
         if (static_cast<std::size_t>(table[i].kind) != i)
         {
@@ -73,7 +73,7 @@
     }
     return true;
 }
-static_assert(rows_follow_the_kinds());
+static_assert(rows_match_kinds());
 
 } // namespace
 
@@ -82,7 +82,7 @@
     return table[static_cast<std::size_t>(kind)];
 }
 
-error_answer const* answer_named(std::string_view name) noexcept
+error_answer const* find_answer(std::string_view name) noexcept
 {
     auto const found = std::find_if(table.begin(), table.end(),
                                     [name](error_answer const& row) { return row.name == name; });
--- a/src/state/member_table.cpp
+++ b/src/state/member_table.cpp
@@ -17,7 +17,7 @@
         return 0;
     }
     std::uint64_t const leaving = info.health == member_health::leaving ? 1 : 0;
-    return mix(mix(info.id.value, info.uptime.value), leaving);
+    return mix(mix(info.id.value, info.incarnation_number.value), leaving);
 }
 
 struct id_less
@@ -36,40 +36,40 @@
 
 bool is_newer(member const& a, member const& b) noexcept
 {
-    return std::tuple{a.uptime, a.refutation, a.health} >
-           std::tuple{b.uptime, b.refutation, b.health};
+    return std::tuple{a.incarnation_number, a.refutation, a.health} >
+           std::tuple{b.incarnation_number, b.refutation, b.health};
 }
 
-merge_result member_table::merge(member const& news, time_point now)
+merge_result member_table::merge(member const& update, time_point now)
 {
-    auto const at = std::lower_bound(entries_.begin(), entries_.end(), news.id, id_less{});
-    if (at == entries_.end() || at->info.id != news.id)
+    auto const at = std::lower_bound(entries_.begin(), entries_.end(), update.id, id_less{});
+    if (at == entries_.end() || at->info.id != update.id)
     {
-        if (news.health == member_health::dead || entries_.size() >= capacity)
+        if (update.health == member_health::dead || entries_.size() >= capacity)
         {
             return merge_result::outdated;
         }
-        entries_.insert(at, member_entry{news, now, 0});
-        digest_ ^= digest_of(news);
+        entries_.insert(at, member_entry{update, now, 0});
+        digest_ ^= digest_of(update);
         return merge_result::changed;
     }
-    if (is_newer(news, at->info))
+    if (is_newer(update, at->info))
     {
-        replace(*at, news, now);
+        replace(*at, update, now);
         return merge_result::changed;
     }
-    return is_newer(at->info, news) ? merge_result::outdated : merge_result::unchanged;
+    return is_newer(at->info, update) ? merge_result::outdated : merge_result::unchanged;
 }
 
-void member_table::overwrite(member const& news, time_point now)
+void member_table::overwrite(member const& update, time_point now)
 {
-    if (member_entry* const entry = find(news.id))
+    if (member_entry* const entry = find(update.id))
     {
-        replace(*entry, news, now);
+        replace(*entry, update, now);
     }
 }
 
-bool member_table::forget_dead(time_point time)
+bool member_table::remove_dead(time_point time)
 {
     return std::erase_if(entries_,
                          [time](member_entry const& entry) {
@@ -97,10 +97,10 @@
     return {first, std::min(count, left)};
 }
 
-void member_table::replace(member_entry& entry, member const& news, time_point now)
+void member_table::replace(member_entry& entry, member const& update, time_point now)
 {
-    digest_ ^= digest_of(entry.info) ^ digest_of(news);
-    entry = {news, now, 0};
+    digest_ ^= digest_of(entry.info) ^ digest_of(update);
+    entry = {update, now, 0};
 }
 
 } // namespace plumdale::state
