--- a/src/transport/admin_pages.cpp
+++ b/src/transport/admin_pages.cpp
@@ -3,9 +3,9 @@
 #include "clock.hpp"
 
 #include <plumdale/protocol/admin_codec.hpp>
-#include <plumdale/protocol/burn_text.hpp>
 #include <plumdale/protocol/caller_codec.hpp>
 #include <plumdale/protocol/digest.hpp>
+#include <plumdale/protocol/error_budget_text.hpp>
 #include <plumdale/protocol/generation_text.hpp>
 
 #include <boost/asio/post.hpp>
@@ -22,25 +22,27 @@
 namespace
 {
 
-constexpr std::string_view bearer = "Bearer ";
+constexpr std::string_view bearer_prefix = "Bearer ";
 constexpr std::string_view admin_prefix = "/admin/";
 constexpr std::string_view preset_prefix = "/admin/presets/";
 
-page refusal(state::error_kind kind, std::string_view detail = {})
+page error_page(state::error_kind kind, std::string_view detail = {})
 {
     protocol::error_details const error{kind, detail, std::chrono::seconds{1}, {}, 0};
     return {state::answer_for(kind).status, "application/json", protocol::error_body(error)};
 }
 
-std::string_view key_of(page_request const& request)
+std::string_view bearer_key(page_request const& request)
 {
-    return request.authorization.starts_with(bearer) ? request.authorization.substr(bearer.size())
-                                                     : std::string_view{};
+    return request.authorization.starts_with(bearer_prefix)
+               ? request.authorization.substr(bearer_prefix.size())
+               : std::string_view{};
 }
 
-protocol::burn_names names_from(std::shared_ptr<coordination::fleet_snapshot const> const& fleet)
+protocol::error_budget_names
+names_from(std::shared_ptr<coordination::fleet_snapshot const> const& fleet)
 {
-    protocol::burn_names names;
+    protocol::error_budget_names names;
     names.service = [fleet](state::model_id model)
     {
         auto const served = fleet->upstreams_of(model);
@@ -64,19 +66,19 @@
         std::uint64_t total = 0;
         for (std::uint32_t i = 0; i < node.shard_count(); ++i)
         {
-            total += (node.delivery(i).*row.member).load(std::memory_order_relaxed);
+            total += (node.shard_counts(i).*row.member).load(std::memory_order_relaxed);
         }
         text += counter_text(row.name, total, row.help);
     }
     return text;
 }
 
-coordination::burn_report joined_burn(std::span<worker_sample const> samples)
+coordination::error_budget_report merge_error_budgets(std::span<worker_sample const> samples)
 {
-    std::vector<coordination::burn_report> reports;
+    std::vector<coordination::error_budget_report> reports;
     for (worker_sample const& each : samples)
     {
-        reports.push_back(each.burn);
+        reports.push_back(each.error_budgets);
     }
     return coordination::merge(reports);
 }
@@ -99,7 +101,7 @@
         {"GET", preset_prefix, &admin_pages::preset, true},
         {"POST", "/admin/preset", &admin_pages::switch_preset, false},
         {"POST", "/admin/drain", &admin_pages::drain, true},
-        {"GET", "/admin/burn", &admin_pages::burn, true},
+        {"GET", "/admin/burn", &admin_pages::error_budgets, true},
     }};
     for (row const& each : rows)
     {
@@ -113,7 +115,7 @@
     return nullptr;
 }
 
-bool admin_pages::handle(page_request const& request, page_answer const& answer)
+bool admin_pages::handle(page_request const& request, page_callback const& answer)
 {
     row const* const found = find(request);
     if (found == nullptr)
@@ -122,12 +124,12 @@
         {
             return false;
         }
-        answer(refusal(state::error_kind::invalid_request, "no such page"));
+        answer(error_page(state::error_kind::invalid_request, "no such page"));
         return true;
     }
-    if (found->guarded && !is_operator(request))
+    if (found->operator_only && !is_operator(request))
     {
-        answer(refusal(state::error_kind::not_allowed));
+        answer(error_page(state::error_kind::not_allowed));
         return true;
     }
     (this->*found->serve)(request, answer);
@@ -137,28 +139,28 @@
 // Digests are compared, in constant time: how long it takes tells nothing of the key.
 bool admin_pages::is_operator(page_request const& request) const
 {
-    auto const wanted = protocol::parse_digest(settings_.operator_key_sha256);
-    state::key_digest const given = protocol::sha256(key_of(request));
+    auto const expected = protocol::parse_digest(settings_.operator_key_sha256);
+    state::sha256_digest const given = protocol::sha256(bearer_key(request));
     bool const by_settings =
-        wanted && CRYPTO_memcmp(wanted->data(), given.data(), given.size()) == 0;
+        expected && CRYPTO_memcmp(expected->data(), given.data(), given.size()) == 0;
     return by_settings || node_.fleet()->find_operator(given) != nullptr;
 }
 
-void admin_pages::health(page_request const& /*request*/, page_answer const& answer)
+void admin_pages::health(page_request const& /*request*/, page_callback const& answer)
 {
     auto const fleet = node_.fleet();
     bool const serving = fleet->ready && !fleet->draining;
-    answer(
-        {serving ? 200U : 503U, "text/plain", std::string{protocol::health_word(*fleet)} + '\n'});
+    answer({serving ? 200U : 503U, "text/plain",
+            std::string{protocol::readiness_name(*fleet)} + '\n'});
 }
 
-void admin_pages::status(page_request const& /*request*/, page_answer const& answer)
+void admin_pages::status(page_request const& /*request*/, page_callback const& answer)
 {
     protocol::node_status const node{settings_.node.self, settings_.zone, node_.in_flight()};
     answer({200, "application/json", protocol::status_body(node, *node_.fleet())});
 }
 
-void admin_pages::preset(page_request const& request, page_answer const& answer)
+void admin_pages::preset(page_request const& request, page_callback const& answer)
 {
     auto const fleet = node_.fleet();
     std::string_view const name = request.target.substr(preset_prefix.size());
@@ -166,33 +168,36 @@
         std::find_if(fleet->presets.begin(), fleet->presets.end(),
                      [name](state::preset const& each) { return each.name == name; });
     answer(found == fleet->presets.end()
-               ? refusal(state::error_kind::unknown_preset)
+               ? error_page(state::error_kind::unknown_preset)
                : page{200, "application/json", protocol::preset_body(*found, *fleet)});
 }
 
-void admin_pages::switch_preset(page_request const& request, page_answer const& answer)
+void admin_pages::switch_preset(page_request const& request, page_callback const& answer)
 {
-    auto const wish = protocol::decode_switch(request.body);
-    if (!wish)
+    auto const decoded = protocol::decode_switch_request(request.body);
+    if (!decoded)
     {
-        return answer(refusal(wish.error().kind, wish.error().detail));
+        return answer(error_page(decoded.error().kind, decoded.error().detail));
     }
-    control_.ask(
-        {{}, protocol::sha256(key_of(request)), wish.value().preset, wish.value().over_revision},
-        [this, answer](coordination::switch_answer const& result)
-        {
-            answer({protocol::status_of(result.outcome), "application/json",
-                    protocol::switch_body(result, *node_.fleet())});
-        });
+    control_.request_switch({{},
+                             protocol::sha256(bearer_key(request)),
+                             decoded.value().preset,
+                             decoded.value().over_revision},
+                            [this, answer](coordination::switch_answer const& result)
+                            {
+                                answer({protocol::http_status_of(result.outcome),
+                                        "application/json",
+                                        protocol::switch_body(result, *node_.fleet())});
+                            });
 }
 
-void admin_pages::drain(page_request const& /*request*/, page_answer const& answer)
+void admin_pages::drain(page_request const& /*request*/, page_callback const& answer)
 {
     control_.post(coordination::drain_requested{});
     answer({200, "application/json", "{\"in_flight\":" + std::to_string(node_.in_flight()) + "}"});
 }
 
-void admin_pages::metrics(page_request const& /*request*/, page_answer const& answer)
+void admin_pages::metrics(page_request const& /*request*/, page_callback const& answer)
 {
     collect(
         [this, answer](std::span<worker_sample const> samples)
@@ -204,20 +209,22 @@
                 fleet->platform_reachable};
             std::string text = metrics_text(samples, control_.metrics(), gauges);
             text += delivery_text(node_);
-            text += protocol::burn_metrics(joined_burn(samples), coordination::burn_settings{},
-                                           names_from(fleet));
+            text += protocol::error_budget_metrics(merge_error_budgets(samples),
+                                                   coordination::error_budget_settings{},
+                                                   names_from(fleet));
             answer({200, "text/plain; version=0.0.4", std::move(text)});
         });
 }
 
-void admin_pages::burn(page_request const& /*request*/, page_answer const& answer)
+void admin_pages::error_budgets(page_request const& /*request*/, page_callback const& answer)
 {
     collect(
         [this, answer](std::span<worker_sample const> samples)
         {
             answer({200, "application/json",
-                    protocol::burn_json(joined_burn(samples), coordination::burn_settings{},
-                                        names_from(node_.fleet()))});
+                    protocol::error_budget_json(merge_error_budgets(samples),
+                                                coordination::error_budget_settings{},
+                                                names_from(node_.fleet()))});
         });
 }
 
@@ -228,21 +235,21 @@
     {
         std::mutex mutex;
         std::vector<worker_sample> samples;
-        std::size_t wanted = 0;
+        std::size_t expected = 0;
         samples_handler handler;
     };
     auto const all = std::make_shared<collection>();
-    all->wanted = workers_.size();
+    all->expected = workers_.size();
     all->handler = std::move(handler);
     for (auto const& each : workers_)
     {
         net::post(each->context(),
-                  [all, &home = *each]
+                  [all, &sampled_worker = *each]
                   {
-                      worker_sample taken = sample(home.metrics(), now());
+                      worker_sample taken = take_sample(sampled_worker.metrics(), now());
                       std::unique_lock lock{all->mutex};
                       all->samples.push_back(std::move(taken));
-                      if (all->samples.size() == all->wanted)
+                      if (all->samples.size() == all->expected)
                       {
                           lock.unlock();
                           all->handler(all->samples);
--- a/src/transport/admin_pages.hpp
+++ b/src/transport/admin_pages.hpp
@@ -24,29 +24,29 @@
                 control_runner& control, std::span<std::unique_ptr<worker> const> workers);
 
     /// \brief Returns false when the path is no page.
-    [[nodiscard]] bool handle(page_request const& request, page_answer const& answer);
+    [[nodiscard]] bool handle(page_request const& request, page_callback const& answer);
 
 private:
-    using page_member = void (admin_pages::*)(page_request const&, page_answer const&);
+    using page_member = void (admin_pages::*)(page_request const&, page_callback const&);
 
     struct row
     {
         std::string_view method;
         std::string_view path;
         page_member serve;
-        bool guarded;
+        bool operator_only;
     };
 
     static row const* find(page_request const& request);
     [[nodiscard]] bool is_operator(page_request const& request) const;
 
-    void health(page_request const& request, page_answer const& answer);
-    void metrics(page_request const& request, page_answer const& answer);
-    void status(page_request const& request, page_answer const& answer);
-    void preset(page_request const& request, page_answer const& answer);
-    void switch_preset(page_request const& request, page_answer const& answer);
-    void drain(page_request const& request, page_answer const& answer);
-    void burn(page_request const& request, page_answer const& answer);
+    void health(page_request const& request, page_callback const& answer);
+    void metrics(page_request const& request, page_callback const& answer);
+    void status(page_request const& request, page_callback const& answer);
+    void preset(page_request const& request, page_callback const& answer);
+    void switch_preset(page_request const& request, page_callback const& answer);
+    void drain(page_request const& request, page_callback const& answer);
+    void error_budgets(page_request const& request, page_callback const& answer);
 
     using samples_handler = std::function<void(std::span<worker_sample const>)>;
     void collect(samples_handler handler);
--- a/src/transport/answer_meter.hpp
+++ b/src/transport/answer_meter.hpp
@@ -17,7 +17,7 @@
     explicit answer_meter(worker_metrics& metrics) : metrics_{metrics} {}
 
     /// \brief A request begins; what an earlier one left is forgotten.
-    void begin(coordination::burn_key key, bool counted, state::time_point now);
+    void begin(coordination::error_budget_key key, bool counted, state::time_point now);
     void token(state::time_point now);
     void whole(state::time_point now);
     /// \brief Refused before any token, or broken off after one.
@@ -25,13 +25,13 @@
     void left(state::time_point now);
 
 private:
-    void end(coordination::answer_end how, state::time_point now);
+    void finish(coordination::answer_outcome outcome, state::time_point now);
 
     worker_metrics& metrics_;
-    coordination::burn_key key_;
-    state::time_point last_{};
+    coordination::error_budget_key key_;
+    state::time_point last_progress_{};
     bool counted_ = false;
-    bool began_ = false;
+    bool has_first_token_ = false;
 };
 
 } // namespace plumdale::transport
--- a/src/transport/caller_port.hpp
+++ b/src/transport/answer_sink.hpp
@@ -9,16 +9,16 @@
 {
 
 /// \brief A waiting caller: an HTTP exchange, or a peer that relays. Called on its own thread.
-class caller_port
+class answer_sink
 {
 public:
-    caller_port() = default;
-    caller_port(caller_port const&) = delete;
-    caller_port& operator=(caller_port const&) = delete;
-    virtual ~caller_port() = default;
+    answer_sink() = default;
+    answer_sink(answer_sink const&) = delete;
+    answer_sink& operator=(answer_sink const&) = delete;
+    virtual ~answer_sink() = default;
 
     /// \brief Returns whether part of an answer was sent.
-    [[nodiscard]] virtual bool began() const noexcept = 0;
+    [[nodiscard]] virtual bool has_started() const noexcept = 0;
 
     virtual void deliver(coordination::send_head const& head) = 0;
     virtual void deliver(coordination::send_token const& token) = 0;
--- a/src/transport/message_reader.cpp
+++ b/src/transport/beast_request_view.cpp
@@ -1,4 +1,4 @@
-#include "message_reader.hpp"
+#include "beast_request_view.hpp"
 
 #include <string_view>
 
@@ -7,14 +7,14 @@
 
 namespace http = boost::beast::http;
 
-protocol::caller_message message_of(http::request<http::string_body> const& request)
+protocol::http_request_view make_request_view(http::request<http::string_body> const& request)
 {
     auto const view = [&request](auto field) -> std::string_view
     {
         auto const value = request[field];
         return {value.data(), value.size()};
     };
-    protocol::caller_message message;
+    protocol::http_request_view message;
     message.method = {request.method_string().data(), request.method_string().size()};
     message.target = {request.target().data(), request.target().size()};
     message.body = request.body();
--- a/src/transport/message_reader.hpp
+++ b/src/transport/beast_request_view.hpp
@@ -12,7 +12,7 @@
 {
 
 /// \brief Returns views of a request's parts; they hold while the request is alive.
-[[nodiscard]] protocol::caller_message
-message_of(boost::beast::http::request<boost::beast::http::string_body> const& request);
+[[nodiscard]] protocol::http_request_view
+make_request_view(boost::beast::http::request<boost::beast::http::string_body> const& request);
 
 } // namespace plumdale::transport
--- a/src/transport/boot_clock.hpp
+++ b/src/transport/boot_clock.hpp
@@ -22,7 +22,7 @@
 }
 
 /// \brief Returns how long a timer has to run until `when`; a day when it never comes.
-[[nodiscard]] inline std::chrono::steady_clock::duration until(state::time_point when) noexcept
+[[nodiscard]] inline std::chrono::steady_clock::duration time_until(state::time_point when) noexcept
 {
     constexpr state::duration longest = std::chrono::hours{24};
     state::time_point const now = boot_now();
--- a/src/transport/call_admission.cpp
+++ b/src/transport/call_admission.cpp
@@ -16,13 +16,13 @@
 
 // Without a configuration nothing is known of keys and routes; it comes within milliseconds of the
 // store's or a peer's answer.
-constexpr state::duration uninformed_come_back = std::chrono::milliseconds{300};
+constexpr state::duration unconfigured_retry_after = std::chrono::milliseconds{300};
 
 // Until then the balancer may not have noticed, and calls that begin end within the usual grace of
 // 8 s.
 constexpr state::duration admit_while_closing = std::chrono::seconds{3};
 // The process ends 0.15 s before its grace does, and looks every 50 ms whether it may.
-constexpr state::duration last_answers = std::chrono::milliseconds{300};
+constexpr state::duration final_answer_margin = std::chrono::milliseconds{300};
 
 std::string_view without_port(std::string_view host)
 {
@@ -37,7 +37,7 @@
 // A call that this process takes and does not live to answer is lost: its caller can't know whether
 // it ran. Streams outlast the grace unless they begin early in it; plain calls end by their route's
 // time.
-bool ends_before(forward_core const& core, admitted_call const& admitted)
+bool outlasts_shutdown(forward_core const& core, admitted_call const& admitted)
 {
     if (core.closing_since == state::never)
     {
@@ -45,57 +45,58 @@
     }
     state::duration const closing = admitted.call.read_at - core.closing_since;
     bool const streams = admitted.route->kind == state::call_kind::streaming;
-    bool const outlasts = closing + admitted.route->timeout + last_answers > core.settings.grace;
+    bool const outlasts =
+        closing + admitted.route->timeout + final_answer_margin > core.settings.grace;
     return closing > admit_while_closing && (streams || outlasts);
 }
 
 /// \brief Why a call is turned away, and what its caller is told.
-struct turned_away
+struct rejection
 {
     error_kind kind;
     std::string_view why;
 };
 
-std::optional<turned_away> look_up(forward_core& core, admitted_call& admitted)
+std::optional<rejection> resolve_call(forward_core& core, admitted_call& admitted)
 {
-    if (!core.informed())
+    if (!core.can_route())
     {
-        return turned_away{error_kind::not_ready, "no configuration or upstreams yet"};
+        return rejection{error_kind::not_ready, "no configuration or upstreams yet"};
     }
     protocol::message_head const& head = admitted.call.head;
     if (admitted.terms.id.empty() || head.count("Host") != 1)
     {
-        return turned_away{error_kind::invalid_request, "no id, or not one host"};
+        return rejection{error_kind::invalid_request, "no id, or not one host"};
     }
     admitted.table = core.routing;
     admitted.route =
         admitted.table->find_route(without_port(*head.find("Host")), path_of(head.target));
     if (admitted.route == nullptr)
     {
-        return turned_away{error_kind::unknown_model, "no route"};
+        return rejection{error_kind::unknown_model, "no route"};
     }
     bool const needs_key =
         !admitted.table->configuration().customers.empty() && !admitted.route->is_public;
     admitted.customer = needs_key ? admitted.table->find_customer(admitted.terms.key) : nullptr;
     if (needs_key && admitted.customer == nullptr)
     {
-        return turned_away{error_kind::unauthenticated, "unknown key"};
+        return rejection{error_kind::unauthenticated, "unknown key"};
     }
-    if (ends_before(core, admitted))
+    if (outlasts_shutdown(core, admitted))
     {
-        return turned_away{error_kind::draining, "this entry VM shuts down"};
+        return rejection{error_kind::draining, "this entry VM shuts down"};
     }
     std::uniform_real_distribution<double> draw{0.0, 1.0};
     admitted.service = admitted.table->find_service(
         coordination::routing_table::service_of(*admitted.route, draw(core.random)));
     if (admitted.service == nullptr)
     {
-        return turned_away{error_kind::no_upstream, "the route's service is not configured"};
+        return rejection{error_kind::no_upstream, "the route's service is not configured"};
     }
     return std::nullopt;
 }
 
-state::request_digest request_of(admitted_call const& admitted)
+state::request_digest request_digest_of(admitted_call const& admitted)
 {
     protocol::message_head const& head = admitted.call.head;
     std::string_view const customer =
@@ -104,7 +105,7 @@
                                        customer, admitted.call.body);
 }
 
-coordination::call_demand demand_of(protocol::call_terms const& terms)
+coordination::call_demand demand_of(protocol::call_headers const& terms)
 {
     std::uint32_t const expected =
         terms.output_hint == 0 ? terms.output_limit / 2 : terms.output_hint;
@@ -114,13 +115,13 @@
 } // namespace
 
 std::shared_ptr<call_handler>
-start_call(forward_core& core, std::shared_ptr<caller_channel> const& channel, whole_call call)
+start_call(forward_core& core, std::shared_ptr<caller_channel> const& channel, received_call call)
 {
     core.metrics.add(forward_count::calls);
     admitted_call admitted;
     admitted.call = std::move(call);
     admitted.terms = core.dialect.read_call(admitted.call.head);
-    if (auto const away = look_up(core, admitted))
+    if (auto const away = resolve_call(core, admitted))
     {
         core.log.write("call", "turned away", admitted.terms.id,
                        {{"why", away->why},
@@ -130,14 +131,14 @@
                              ? 0
                              : static_cast<std::int64_t>(core.routing->configuration().version)}});
         core.metrics.add(forward_count::refused);
-        channel->refuse(away->kind, uninformed_come_back);
+        channel->refuse(away->kind, unconfigured_retry_after);
         return nullptr;
     }
-    admitted.request = request_of(admitted);
+    admitted.request = request_digest_of(admitted);
     admitted.demand = demand_of(admitted.terms);
     state::duration const left = admitted.terms.time_left.value_or(admitted.route->timeout);
     admitted.deadline = admitted.call.read_at + std::min(left, admitted.route->timeout);
-    admitted.returns = core.comes_back(admitted.route->name, left);
+    admitted.is_retry = core.detect_retry(admitted.route->name, left);
     bool const streams = admitted.route->kind == state::call_kind::streaming;
     std::shared_ptr<forward_call> started;
     if (streams)
--- a/src/transport/caller_channel.cpp
+++ b/src/transport/caller_channel.cpp
@@ -35,11 +35,12 @@
 
 } // namespace
 
-caller_channel::caller_channel(tcp::socket socket, std::function<channel_terms()> terms,
-                               call_starter start, std::function<void(caller_channel&)> on_closed)
-    : socket_{std::move(socket)}, terms_{std::move(terms)}, start_{std::move(start)},
-      on_closed_{std::move(on_closed)}, timer_{socket_.get_executor()}, reader_{new_reader(
-                                                                            terms_().limits)}
+caller_channel::caller_channel(tcp::socket socket, std::function<channel_options()> options,
+                               call_handler_factory start,
+                               std::function<void(caller_channel&)> on_closed)
+    : socket_{std::move(socket)}, current_options_{std::move(options)},
+      make_handler_{std::move(start)}, on_closed_{std::move(on_closed)},
+      timer_{socket_.get_executor()}, reader_{new_reader(current_options_().limits)}
 {
 }
 
@@ -49,7 +50,7 @@
     socket_.set_option(tcp::no_delay{true}, ignored);
     int const timeout = user_timeout_ms;
     ::setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof(timeout));
-    arm(terms_().limits.idle_timeout);
+    arm_timer(current_options_().limits.idle_timeout);
     read();
 }
 
@@ -57,7 +58,7 @@
 
 void caller_channel::read()
 {
-    if (reading_ || stage_ == stage::closed || ahead_.size() > read_ahead)
+    if (reading_ || stage_ == stage::closed || unparsed_.size() > max_read_ahead)
     {
         return;
     }
@@ -78,38 +79,38 @@
     }
     if (error)
     {
-        return caller_gone();
+        return on_connection_lost();
     }
     if (stage_ != stage::closing)
     {
-        ahead_.append(buffer_.data(), bytes);
+        unparsed_.append(buffer_.data(), bytes);
     }
     if (stage_ == stage::idle || stage_ == stage::reading)
     {
-        take();
+        parse_input();
     }
     read();
 }
 
-void caller_channel::take()
+void caller_channel::parse_input()
 {
     if (stage_ == stage::idle)
     {
-        channel_terms const terms = terms_();
-        reader_ = new_reader(terms.limits);
+        channel_options const options = current_options_();
+        reader_ = new_reader(options.limits);
         stage_ = stage::reading;
-        arm(terms.limits.header_timeout);
+        arm_timer(options.limits.header_timeout);
     }
-    auto const progress = reader_.append(std::exchange(ahead_, {}));
+    auto const progress = reader_.append(std::exchange(unparsed_, {}));
     if (progress == protocol::read_progress::malformed)
     {
         return refuse_malformed();
     }
     std::string const* const expect =
         progress == protocol::read_progress::body ? reader_.head().find("Expect") : nullptr;
-    if (expect != nullptr && protocol::same_name(*expect, "100-continue"))
+    if (expect != nullptr && protocol::equals_ignore_case(*expect, "100-continue"))
     {
-        waiting_ += "HTTP/1.1 100 Continue\r\n\r\n";
+        pending_ += "HTTP/1.1 100 Continue\r\n\r\n";
         write();
     }
     if (progress == protocol::read_progress::whole)
@@ -122,15 +123,15 @@
 {
     stage_ = stage::in_call;
     timer_.cancel();
-    ahead_ = reader_.rest();
-    whole_call call{reader_.head(), reader_.take_body(), boot_now()};
+    unparsed_ = reader_.unconsumed();
+    received_call call{reader_.head(), reader_.take_body(), boot_now()};
     std::string const* const connection = call.head.find("Connection");
-    caller_closes_ = connection != nullptr && protocol::has_token(*connection, "close");
-    without_body_ = call.head.method == "HEAD";
+    close_requested_ = connection != nullptr && protocol::has_token(*connection, "close");
+    is_head_request_ = call.head.method == "HEAD";
     // An answer may be given before the handler is known here, and the next call begun.
-    std::uint64_t const serial = ++calls_;
-    std::shared_ptr<call_handler> handler = start_(shared_from_this(), std::move(call));
-    if (stage_ == stage::in_call && serial == calls_)
+    std::uint64_t const serial = ++call_count_;
+    std::shared_ptr<call_handler> handler = make_handler_(shared_from_this(), std::move(call));
+    if (stage_ == stage::in_call && serial == call_count_)
     {
         handler_ = std::move(handler);
     }
@@ -139,37 +140,37 @@
 void caller_channel::refuse_malformed()
 {
     stage_ = stage::in_call;
-    caller_closes_ = true;
+    close_requested_ = true;
     refuse(reader_.is_too_large() ? state::error_kind::request_too_large
                                   : state::error_kind::invalid_request,
            state::duration::zero());
 }
 
-void caller_channel::caller_gone()
+void caller_channel::on_connection_lost()
 {
     auto const handler = std::exchange(handler_, nullptr);
     close();
     if (handler != nullptr)
     {
-        handler->caller_left();
+        handler->on_caller_disconnected();
     }
 }
 
 // -- answers --------------------------------------------------------------------------------------
 
-void caller_channel::head_of(unsigned status, std::string_view reason,
-                             std::vector<header_field> const& fields, bool closes)
+void caller_channel::append_head(unsigned status, std::string_view reason,
+                                 std::vector<header_field> const& fields, bool closes)
 {
-    close_after_ = closes;
-    waiting_.append("HTTP/1.1 ").append(std::to_string(status)).append(" ");
-    waiting_.append(reason).append("\r\n");
+    close_after_answer_ = closes;
+    pending_.append("HTTP/1.1 ").append(std::to_string(status)).append(" ");
+    pending_.append(reason).append("\r\n");
     for (header_field const& field : fields)
     {
-        waiting_.append(field.name).append(": ").append(field.value).append("\r\n");
+        pending_.append(field.name).append(": ").append(field.value).append("\r\n");
     }
     if (closes)
     {
-        waiting_.append("Connection: close\r\n");
+        pending_.append("Connection: close\r\n");
     }
 }
 
@@ -180,22 +181,22 @@
     {
         return;
     }
-    head_of(status, reason, fields, caller_closes_ || terms_().closing);
-    waiting_.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n\r\n");
-    if (!without_body_)
+    append_head(status, reason, fields, close_requested_ || current_options_().closing);
+    pending_.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n\r\n");
+    if (!is_head_request_)
     {
-        waiting_.append(body);
+        pending_.append(body);
     }
-    finish_call(!close_after_);
+    finish_call(!close_after_answer_);
 }
 
-void caller_channel::refuse(state::error_kind kind, state::duration come_back)
+void caller_channel::refuse(state::error_kind kind, state::duration retry_delay)
 {
     state::error_answer const& row = state::answer_for(kind);
     std::vector<header_field> fields{{"Content-Type", "application/json"}};
     if (row.retry_after)
     {
-        fields.push_back({"Retry-After", seconds_text(come_back)});
+        fields.push_back({"Retry-After", seconds_text(retry_delay)});
     }
     std::string body{R"({"error":")"};
     body.append(row.name).append(R"(","claim":")").append(state::claim_name(row.claim));
@@ -206,12 +207,12 @@
 void caller_channel::begin(unsigned status, std::string_view reason,
                            std::vector<header_field> const& fields)
 {
-    head_of(status, reason, fields, caller_closes_ || terms_().closing);
-    waiting_.append("Transfer-Encoding: chunked\r\n\r\n");
+    append_head(status, reason, fields, close_requested_ || current_options_().closing);
+    pending_.append("Transfer-Encoding: chunked\r\n\r\n");
     write();
 }
 
-void caller_channel::send_part(std::string_view bytes)
+void caller_channel::send_chunk(std::string_view bytes)
 {
     if (bytes.empty() || stage_ != stage::in_call)
     {
@@ -219,7 +220,7 @@
     }
     std::array<char, 20> size{};
     std::snprintf(size.data(), size.size(), "%zx\r\n", bytes.size());
-    waiting_.append(size.data()).append(bytes).append("\r\n");
+    pending_.append(size.data()).append(bytes).append("\r\n");
     write();
 }
 
@@ -227,12 +228,12 @@
 {
     if (stage_ == stage::in_call)
     {
-        waiting_.append("0\r\n\r\n");
-        finish_call(!close_after_);
+        pending_.append("0\r\n\r\n");
+        finish_call(!close_after_answer_);
     }
 }
 
-void caller_channel::break_off()
+void caller_channel::abort_answer()
 {
     if (stage_ == stage::in_call)
     {
@@ -244,15 +245,15 @@
 {
     handler_ = nullptr;
     stage_ = keep ? stage::idle : stage::closing;
-    arm(keep ? terms_().limits.idle_timeout : linger_time);
+    arm_timer(keep ? current_options_().limits.idle_timeout : linger_time);
     write();
     if (!keep)
     {
         return;
     }
-    if (!ahead_.empty())
+    if (!unparsed_.empty())
     {
-        take();
+        parse_input();
     }
     read();
 }
@@ -261,11 +262,11 @@
 
 void caller_channel::write()
 {
-    if (!writing_.empty() || stage_ == stage::closed)
+    if (!sending_.empty() || stage_ == stage::closed)
     {
         return;
     }
-    if (waiting_.empty())
+    if (pending_.empty())
     {
         if (stage_ == stage::closing)
         {
@@ -274,34 +275,34 @@
         }
         return;
     }
-    writing_ = std::exchange(waiting_, {});
-    net::async_write(socket_, net::buffer(writing_),
+    sending_ = std::exchange(pending_, {});
+    net::async_write(socket_, net::buffer(sending_),
                      [self = shared_from_this()](error_code error, std::size_t)
                      { self->on_written(error); });
 }
 
 void caller_channel::on_written(error_code error)
 {
-    writing_.clear();
+    sending_.clear();
     if (stage_ == stage::closed)
     {
         return;
     }
     if (error)
     {
-        return caller_gone();
+        return on_connection_lost();
     }
     write();
     if (handler_ != nullptr && !is_full())
     {
         auto const handler = handler_;
-        handler->caller_ready();
+        handler->on_caller_ready();
     }
 }
 
 // -- time and end ---------------------------------------------------------------------------------
 
-void caller_channel::arm(state::duration time)
+void caller_channel::arm_timer(state::duration time)
 {
     timer_.expires_after(time);
     timer_.async_wait(
--- a/src/transport/caller_channel.hpp
+++ b/src/transport/caller_channel.hpp
@@ -25,7 +25,7 @@
 class caller_channel;
 
 /// \brief One call as it was read whole.
-struct whole_call
+struct received_call
 {
     protocol::message_head head;
     std::string body;
@@ -42,17 +42,17 @@
     call_handler& operator=(call_handler const&) = delete;
     virtual ~call_handler() = default;
 
-    virtual void caller_left() = 0;
+    virtual void on_caller_disconnected() = 0;
     /// \brief The caller's buffer has room again.
-    virtual void caller_ready() = 0;
+    virtual void on_caller_ready() = 0;
 };
 
 /// \brief Makes the handler of a call. Answers through the channel, at once or later.
-using call_starter =
-    std::function<std::shared_ptr<call_handler>(std::shared_ptr<caller_channel>, whole_call)>;
+using call_handler_factory =
+    std::function<std::shared_ptr<call_handler>(std::shared_ptr<caller_channel>, received_call)>;
 
 /// \brief What a channel asks of its owner at each step.
-struct channel_terms
+struct channel_options
 {
     state::caller_limits limits;
     /// \brief The entry VM leaves: answers ask the caller to close.
@@ -63,8 +63,8 @@
 class caller_channel : public std::enable_shared_from_this<caller_channel>
 {
 public:
-    caller_channel(tcp::socket socket, std::function<channel_terms()> terms, call_starter start,
-                   std::function<void(caller_channel&)> on_closed);
+    caller_channel(tcp::socket socket, std::function<channel_options()> options,
+                   call_handler_factory start, std::function<void(caller_channel&)> on_closed);
 
     void start();
     /// \brief Closes at once, whatever is in progress.
@@ -75,27 +75,27 @@
     void answer(unsigned status, std::string_view reason,
                 std::vector<protocol::header_field> const& fields, std::string_view body);
     /// \brief Sends an answer of the system's own, by the table of errors.
-    void refuse(state::error_kind kind, state::duration come_back);
+    void refuse(state::error_kind kind, state::duration retry_delay);
     /// \brief Begins an answer of unknown length.
     void begin(unsigned status, std::string_view reason,
                std::vector<protocol::header_field> const& fields);
-    void send_part(std::string_view bytes);
+    void send_chunk(std::string_view bytes);
     /// \brief Ends a begun answer as whole.
     void end();
     /// \brief Ends a begun answer so that it does not look whole, or closes without one.
-    void break_off();
+    void abort_answer();
 
     /// \brief Returns whether more than a bounded amount waits for the caller to read.
     [[nodiscard]] bool is_full() const noexcept
     {
-        return waiting_.size() + writing_.size() > buffer_limit;
+        return pending_.size() + sending_.size() > buffer_limit;
     }
 
     /// \brief Bytes for a slow reader above which its upstream is not read: two seconds of a
     /// stream's events.
     static constexpr std::size_t buffer_limit = 64UL * 1024;
     /// \brief Bytes of further calls that are read ahead while one is in progress.
-    static constexpr std::size_t read_ahead = 32UL * 1024;
+    static constexpr std::size_t max_read_ahead = 32UL * 1024;
     /// \brief A caller that takes nothing for this long is let go.
     static constexpr unsigned user_timeout_ms = 10'000;
 
@@ -111,36 +111,36 @@
 
     void read();
     void on_read(boost::system::error_code error, std::size_t bytes);
-    void take();
+    void parse_input();
     void begin_call();
     void refuse_malformed();
     void finish_call(bool keep);
     void write();
     void on_written(boost::system::error_code error);
-    void arm(state::duration time);
+    void arm_timer(state::duration time);
     void on_timer();
     void close();
-    void caller_gone();
-    void head_of(unsigned status, std::string_view reason,
-                 std::vector<protocol::header_field> const& fields, bool closes);
+    void on_connection_lost();
+    void append_head(unsigned status, std::string_view reason,
+                     std::vector<protocol::header_field> const& fields, bool closes);
 
     tcp::socket socket_;
-    std::function<channel_terms()> terms_;
-    call_starter start_;
+    std::function<channel_options()> current_options_;
+    call_handler_factory make_handler_;
     std::function<void(caller_channel&)> on_closed_;
     net::steady_timer timer_;
     protocol::http_reader reader_;
-    std::string ahead_;
+    std::string unparsed_;
     std::shared_ptr<call_handler> handler_;
-    std::string waiting_;
-    std::string writing_;
+    std::string pending_;
+    std::string sending_;
     std::array<char, 4096> buffer_{};
     stage stage_ = stage::idle;
-    std::uint64_t calls_ = 0;
+    std::uint64_t call_count_ = 0;
     bool reading_ = false;
-    bool close_after_ = false;
-    bool caller_closes_ = false;
-    bool without_body_ = false;
+    bool close_after_answer_ = false;
+    bool close_requested_ = false;
+    bool is_head_request_ = false;
 };
 
 } // namespace plumdale::transport
--- a/src/transport/caller_session.cpp
+++ b/src/transport/caller_session.cpp
@@ -1,10 +1,10 @@
 #include "caller_session.hpp"
 
 #include "answer_meter.hpp"
+#include "beast_request_view.hpp"
 #include "caller_text.hpp"
 #include "caller_writer.hpp"
 #include "clock.hpp"
-#include "message_reader.hpp"
 
 #include <plumdale/protocol/caller_codec.hpp>
 
@@ -26,19 +26,21 @@
 namespace http = beast::http;
 using beast::error_code;
 
-constexpr std::size_t first_read = 2048;
+constexpr std::size_t initial_read_bytes = 2048;
 
-class caller_session final : public caller_port,
+class caller_session final : public answer_sink,
                              private writer_owner,
                              public std::enable_shared_from_this<caller_session>
 {
 public:
-    caller_session(worker& home, session_context& context, tcp::socket socket)
-        : home_{home}, context_{context}, meter_{home.metrics()}, socket_{std::move(socket)},
-          writer_{socket_.socket(), {context.limits.buffer, context.limits.stalled}, *this},
+    caller_session(worker& caller_worker, session_context& context, tcp::socket socket)
+        : own_worker_{caller_worker}, context_{context}, meter_{caller_worker.metrics()},
+          socket_{std::move(socket)}, writer_{socket_.socket(),
+                                              {context.limits.buffer, context.limits.stalled},
+                                              *this},
           buffer_{context.limits.header + context.limits.body}
     {
-        ++home_.metrics().counts.connections;
+        ++own_worker_.metrics().counts.connections;
     }
 
     void read_request()
@@ -50,8 +52,8 @@
         {
             return read_header();
         }
-        socket_.expires_after(context_.limits.idle);
-        socket_.async_read_some(buffer_.prepare(first_read),
+        socket_.expires_after(context_.limits.keep_alive_timeout);
+        socket_.async_read_some(buffer_.prepare(initial_read_bytes),
                                 [self = shared_from_this()](error_code error, std::size_t bytes)
                                 {
                                     self->buffer_.commit(bytes);
@@ -59,7 +61,7 @@
                                 });
     }
 
-    [[nodiscard]] bool began() const noexcept override
+    [[nodiscard]] bool has_started() const noexcept override
     {
         return head_sent_;
     }
@@ -69,7 +71,7 @@
         // Only a stream has a head of its own; a whole answer's comes with the answer.
         if (streamed_ && !std::exchange(head_sent_, true))
         {
-            append_stream_head(writer_.waiting(), head, closing_);
+            append_stream_head(writer_.pending(), head, closing_);
             writer_.flush();
         }
     }
@@ -78,9 +80,9 @@
     {
         meter_.token(now());
         append_chunk(
-            writer_.waiting(),
+            writer_.pending(),
             protocol::token_event({token.generation, token.upstream, token.index}, token.text));
-        writer_.mind_buffer();
+        writer_.check_buffer_limit();
         writer_.flush();
     }
 
@@ -89,11 +91,11 @@
         meter_.whole(now());
         if (head_sent_)
         {
-            append_chunk(writer_.waiting(), protocol::done_event());
+            append_chunk(writer_.pending(), protocol::done_event());
             return finish_stream();
         }
         answer({finished.status, body_type, finished.generation, {}, closing_},
-               whole_answer(finished));
+               answer_body(finished));
     }
 
     void deliver(coordination::send_refused const& refused) override
@@ -109,7 +111,7 @@
     // A head that trickles in holds a connection; its time is bounded as a whole.
     void read_header()
     {
-        socket_.expires_after(context_.limits.reading);
+        socket_.expires_after(context_.limits.read_timeout);
         http::async_read_header(socket_, buffer_, *parser_,
                                 [self = shared_from_this()](error_code error, std::size_t)
                                 { error ? self->on_malformed(error) : self->read_body(); });
@@ -117,7 +119,7 @@
 
     void read_body()
     {
-        socket_.expires_after(context_.limits.reading);
+        socket_.expires_after(context_.limits.read_timeout);
         http::async_read(socket_, buffer_, *parser_,
                          [self = shared_from_this()](error_code error, std::size_t)
                          { error ? self->on_malformed(error) : self->handle_request(); });
@@ -131,7 +133,7 @@
         {
             return leave();
         }
-        ++home_.metrics().counts.malformed;
+        ++own_worker_.metrics().counts.malformed;
         closing_ = true;
         bool const large = error == http::error::body_limit || error == http::error::header_limit ||
                            error == http::error::buffer_overflow;
@@ -148,13 +150,14 @@
         auto const& request = parser_->get();
         closing_ = !request.keep_alive();
         head_sent_ = false;
-        protocol::caller_message const message = message_of(request);
-        page_request const wanted{message.method, message.target, message.authorization,
-                                  message.body};
+        protocol::http_request_view const message = make_request_view(request);
+        page_request const requested_page{message.method, message.target, message.authorization,
+                                          message.body};
         bool const is_page =
-            context_.pages(wanted,
-                           [self = shared_from_this()](page made) {
-                               net::post(self->home_.context(), [self, made = std::move(made)]
+            context_.pages(requested_page,
+                           [self = shared_from_this()](page made)
+                           {
+                               net::post(self->own_worker_.context(), [self, made = std::move(made)]
                                          { self->answer_page(made); });
                            });
         if (!is_page)
@@ -168,7 +171,7 @@
         answer({made.status, made.type, {}, {}, closing_}, made.body);
     }
 
-    void handle_generation(protocol::caller_message const& message)
+    void handle_generation(protocol::http_request_view const& message)
     {
         auto decoded = protocol::decode_request(message, now());
         if (!decoded)
@@ -179,20 +182,20 @@
         state::request& request = decoded.value();
         begin_meter(request);
         is_call_ = request.kind == state::work_kind::call;
-        what_ = request.what;
-        streamed_ = request.streamed &&
-                    (what_ == state::operation::run || what_ == state::operation::attach);
+        op_ = request.op;
+        streamed_ =
+            request.streamed && (op_ == state::operation::run || op_ == state::operation::attach);
         parser_.reset();
-        handle_ = home_.enter(shared_from_this());
-        shard_ = context_.requests.receive({handle_, std::move(request), {}}, home_.index());
-        watch_for_end();
+        handle_ = own_worker_.add_caller(shared_from_this());
+        shard_ = context_.requests.receive({handle_, std::move(request), {}}, own_worker_.index());
+        watch_for_disconnect();
     }
 
     void begin_meter(state::request const& request)
     {
         state::customer const* const customer =
             context_.fleet.current().find_customer(request.api_key);
-        bool const counted = request.what == state::operation::run && customer != nullptr;
+        bool const counted = request.op == state::operation::run && customer != nullptr;
         meter_.begin({request.model, counted ? customer->id : state::customer_id{}}, counted,
                      now());
     }
@@ -200,7 +203,7 @@
     // While an answer is on its way the end of the connection must be seen, or an engine would go
     // on working for a caller that has left. A next request that is already there is kept, up to
     // the bound of a head; beyond it the connection is no longer watched, and fails when written.
-    void watch_for_end()
+    void watch_for_disconnect()
     {
         if (std::exchange(watching_, true))
         {
@@ -222,7 +225,7 @@
         std::size_t const there = failed ? 0 : socket_.socket().available(failed);
         if (failed || there == 0)
         {
-            return caller_left();
+            return on_caller_disconnected();
         }
         if (buffer_.size() + there > context_.limits.header)
         {
@@ -230,16 +233,16 @@
             return;
         }
         buffer_.commit(socket_.socket().read_some(buffer_.prepare(there), failed));
-        failed ? caller_left() : watch_for_end();
+        failed ? on_caller_disconnected() : watch_for_disconnect();
     }
 
-    void caller_left()
+    void on_caller_disconnected()
     {
         if (handle_)
         {
             meter_.left(now());
-            context_.requests.post(shard_, coordination::caller_gone{handle_});
-            leave_home();
+            context_.requests.post(shard_, coordination::caller_disconnected{handle_});
+            unregister_caller();
         }
         leave();
     }
@@ -254,7 +257,7 @@
         }
         if (blocked)
         {
-            ++home_.metrics().counts.blocked;
+            ++own_worker_.metrics().counts.blocked;
             return context_.requests.post(shard_, coordination::caller_blocked{handle_});
         }
         context_.requests.post(shard_, coordination::caller_ready{handle_});
@@ -262,7 +265,7 @@
 
     void on_sent(std::size_t bytes) override
     {
-        home_.metrics().counts.bytes_sent += bytes;
+        own_worker_.metrics().counts.bytes_sent += bytes;
     }
 
     void on_empty() override
@@ -273,9 +276,9 @@
         }
     }
 
-    void on_broken() override
+    void on_connection_failed() override
     {
-        caller_left();
+        on_caller_disconnected();
     }
 
     [[nodiscard]] std::shared_ptr<writer_owner> keep_alive() override
@@ -285,9 +288,9 @@
 
     void finish_stream()
     {
-        leave_home();
+        unregister_caller();
         answered_ = true;
-        append_chunk(writer_.waiting(), {});
+        append_chunk(writer_.pending(), {});
         writer_.flush();
     }
 
@@ -296,7 +299,7 @@
         meter_.refused(error.kind, now());
         if (head_sent_)
         {
-            append_chunk(writer_.waiting(), protocol::error_event(error));
+            append_chunk(writer_.pending(), protocol::error_event(error));
             return finish_stream();
         }
         state::error_answer const& row = state::answer_for(error.kind);
@@ -308,32 +311,32 @@
         answer(head, protocol::error_body(error));
     }
 
-    [[nodiscard]] std::string whole_answer(coordination::send_finished const& finished) const
+    [[nodiscard]] std::string answer_body(coordination::send_finished const& finished) const
     {
         if (is_call_)
         {
             return finished.text;
         }
-        if (what_ == state::operation::reserve)
+        if (op_ == state::operation::reserve)
         {
             return protocol::reservation_body(finished.generation);
         }
-        return protocol::whole_body(finished.generation, finished.text, finished.count);
+        return protocol::completion_body(finished.generation, finished.text, finished.count);
     }
 
     void answer(answer_head const& head, std::string_view body)
     {
-        leave_home();
-        append_answer(writer_.waiting(), head, body);
+        unregister_caller();
+        append_answer(writer_.pending(), head, body);
         answered_ = true;
         writer_.flush();
     }
 
-    void leave_home()
+    void unregister_caller()
     {
         if (handle_)
         {
-            home_.leave(std::exchange(handle_, state::caller_handle{}));
+            own_worker_.leave(std::exchange(handle_, state::caller_handle{}));
         }
     }
 
@@ -344,32 +347,32 @@
     {
         error_code ignored;
         socket_.socket().shutdown(tcp::socket::shutdown_send, ignored);
-        socket_.expires_after(context_.limits.reading);
+        socket_.expires_after(context_.limits.read_timeout);
         drop_input();
     }
 
     void drop_input()
     {
         buffer_.clear();
-        socket_.async_read_some(buffer_.prepare(first_read),
+        socket_.async_read_some(buffer_.prepare(initial_read_bytes),
                                 [self = shared_from_this()](error_code error, std::size_t)
                                 { error ? self->leave() : self->drop_input(); });
     }
 
     void leave()
     {
-        if (std::exchange(left_, true))
+        if (std::exchange(closed_, true))
         {
             return;
         }
-        --home_.metrics().counts.connections;
+        --own_worker_.metrics().counts.connections;
         writer_.close();
         error_code ignored;
         socket_.socket().shutdown(tcp::socket::shutdown_both, ignored);
         socket_.socket().close(ignored);
     }
 
-    worker& home_;
+    worker& own_worker_;
     session_context& context_;
     answer_meter meter_;
     beast::tcp_stream socket_;
@@ -378,21 +381,21 @@
     std::optional<http::request_parser<http::string_body>> parser_;
     state::caller_handle handle_;
     std::uint32_t shard_ = 0;
-    state::operation what_ = state::operation::run;
+    state::operation op_ = state::operation::run;
     bool head_sent_ = false;
     bool is_call_ = false;
     bool streamed_ = false;
     bool closing_ = false;
     bool answered_ = false;
     bool watching_ = false;
-    bool left_ = false;
+    bool closed_ = false;
 };
 
 } // namespace
 
-void serve_caller(worker& home, session_context& context, tcp::socket socket)
+void serve_caller(worker& caller_worker, session_context& context, tcp::socket socket)
 {
-    std::make_shared<caller_session>(home, context, std::move(socket))->read_request();
+    std::make_shared<caller_session>(caller_worker, context, std::move(socket))->read_request();
 }
 
 void refuse_caller(tcp::socket socket)
--- a/src/transport/caller_session.hpp
+++ b/src/transport/caller_session.hpp
@@ -25,9 +25,9 @@
     /// \brief Bytes waiting to be sent above which the upstream is paused.
     std::uint32_t buffer = 16 * 1024;
     /// \brief How long a connection may be idle between requests.
-    std::chrono::milliseconds idle{60'000};
+    std::chrono::milliseconds keep_alive_timeout{60'000};
     /// \brief How long a head, and then a body, may take from its first byte to its last.
-    std::chrono::milliseconds reading{10'000};
+    std::chrono::milliseconds read_timeout{10'000};
     /// \brief How long the caller may take nothing of what waits for it.
     std::chrono::milliseconds stalled{60'000};
 };
@@ -49,11 +49,11 @@
     std::string_view body;
 };
 
-using page_answer = std::function<void(page)>;
+using page_callback = std::function<void(page)>;
 
 /// \brief Answers paths that are no generations, on any thread. Returns false when the path is not
 /// one of its own; else calls `answer` once, from any thread.
-using page_handler = std::function<bool(page_request const& request, page_answer const& answer)>;
+using page_handler = std::function<bool(page_request const& request, page_callback const& answer)>;
 
 /// \brief What the sessions of one worker share.
 struct session_context
@@ -66,7 +66,7 @@
 };
 
 /// \brief Serves one connection on its worker's thread until it ends.
-void serve_caller(worker& home, session_context& context, tcp::socket socket);
+void serve_caller(worker& caller_worker, session_context& context, tcp::socket socket);
 
 /// \brief Answers a connection above the limit on connections, and ends it.
 void refuse_caller(tcp::socket socket);
--- a/src/transport/caller_writer.cpp
+++ b/src/transport/caller_writer.cpp
@@ -12,10 +12,10 @@
 using boost::system::error_code;
 
 // A stream that was held up once keeps no large buffer for the rest of its life.
-void give_back(std::string& buffer)
+void release_memory(std::string& buffer)
 {
-    constexpr std::size_t kept = 4096;
-    if (buffer.capacity() > kept)
+    constexpr std::size_t max_kept_bytes = 4096;
+    if (buffer.capacity() > max_kept_bytes)
     {
         std::string{}.swap(buffer);
     }
@@ -28,7 +28,7 @@
 {
 }
 
-void caller_writer::mind_buffer()
+void caller_writer::check_buffer_limit()
 {
     if (!blocked_ && pending_.size() > limits_.buffer)
     {
@@ -55,11 +55,11 @@
 void caller_writer::on_written(error_code error, std::size_t bytes)
 {
     writing_ = false;
-    ++writes_;
+    ++write_count_;
     owner_.on_sent(bytes);
     if (error)
     {
-        return owner_.on_broken();
+        return owner_.on_connection_failed();
     }
     if (std::exchange(blocked_, false))
     {
@@ -69,8 +69,8 @@
     {
         return flush();
     }
-    give_back(sending_);
-    give_back(pending_);
+    release_memory(sending_);
+    release_memory(pending_);
     owner_.on_empty();
 }
 
@@ -78,25 +78,25 @@
 // timer a connection looks now and then whether anything was written since.
 void caller_writer::watch_for_stall()
 {
-    if (std::exchange(stall_watched_, true))
+    if (std::exchange(is_stall_timer_armed_, true))
     {
         return;
     }
     stall_timer_.expires_after(limits_.stalled);
     stall_timer_.async_wait(
-        [this, weak = std::weak_ptr{owner_.keep_alive()}, seen = writes_](error_code error)
+        [this, weak = std::weak_ptr{owner_.keep_alive()}, seen = write_count_](error_code error)
         {
             auto const alive = weak.lock();
             if (error || alive == nullptr)
             {
                 return;
             }
-            stall_watched_ = false;
+            is_stall_timer_armed_ = false;
             if (!writing_)
             {
                 return;
             }
-            writes_ == seen ? owner_.on_broken() : watch_for_stall();
+            write_count_ == seen ? owner_.on_connection_failed() : watch_for_stall();
         });
 }
 
--- a/src/transport/caller_writer.hpp
+++ b/src/transport/caller_writer.hpp
@@ -40,7 +40,7 @@
     /// \brief Nothing waits any more.
     virtual void on_empty() = 0;
     /// \brief The connection ended, or the caller took nothing for too long.
-    virtual void on_broken() = 0;
+    virtual void on_connection_failed() = 0;
     /// \brief Keeps the connection alive while a write is under way.
     [[nodiscard]] virtual std::shared_ptr<writer_owner> keep_alive() = 0;
 };
@@ -52,14 +52,14 @@
     caller_writer(tcp::socket& socket, writer_limits limits, writer_owner& owner);
 
     /// \brief Returns the text that waits, to append to; `flush()` sends it.
-    [[nodiscard]] std::string& waiting() noexcept
+    [[nodiscard]] std::string& pending() noexcept
     {
         return pending_;
     }
     /// \brief Sends what waits, unless a write is under way: then it follows that one.
     void flush();
     /// \brief Tells the owner when more waits than the bound.
-    void mind_buffer();
+    void check_buffer_limit();
     /// \brief Ends the watch over the caller; no write is begun any more.
     void close();
 
@@ -71,10 +71,10 @@
     writer_limits limits_;
     writer_owner& owner_;
     net::steady_timer stall_timer_;
-    std::uint32_t writes_ = 0;
+    std::uint32_t write_count_ = 0;
     bool writing_ = false;
     bool blocked_ = false;
-    bool stall_watched_ = false;
+    bool is_stall_timer_armed_ = false;
     std::string pending_;
     std::string sending_;
 };
--- a/src/transport/clock.hpp
+++ b/src/transport/clock.hpp
@@ -17,7 +17,7 @@
 }
 
 /// \brief Returns how far the clock that counts suspension is ahead of the monotonic one.
-[[nodiscard]] inline state::duration suspension() noexcept
+[[nodiscard]] inline state::duration suspended_time() noexcept
 {
     timespec boot{};
     clock_gettime(CLOCK_BOOTTIME, &boot);
@@ -27,7 +27,8 @@
 }
 
 /// \brief Returns a moment of the injected clock as one of the steady clock, for timers.
-[[nodiscard]] inline std::chrono::steady_clock::time_point steady(state::time_point when) noexcept
+[[nodiscard]] inline std::chrono::steady_clock::time_point
+to_steady(state::time_point when) noexcept
 {
     return std::chrono::steady_clock::time_point{when.time_since_epoch()};
 }
--- a/src/transport/configuration_exchange.cpp
+++ b/src/transport/configuration_exchange.cpp
@@ -31,8 +31,9 @@
 
 } // namespace
 
-configuration_exchange::configuration_exchange(forward_core& core, configuration_ways ways)
-    : core_{core}, ways_{std::move(ways)}, catch_up_{core.random}
+configuration_exchange::configuration_exchange(forward_core& core,
+                                               configuration_callbacks callbacks)
+    : core_{core}, callbacks_{std::move(callbacks)}, catch_up_{core.random}
 {
 }
 
@@ -59,31 +60,32 @@
                     {{"version", static_cast<std::int64_t>(offer.version)},
                      {"base", static_cast<std::int64_t>(offer.base)},
                      {"patch_bytes", static_cast<std::int64_t>(offer.patch.size())}});
-    pass_on(offer);
+    forward_offer(offer);
 }
 
-void configuration_exchange::pass_on(configuration_offer const& offer)
+void configuration_exchange::forward_offer(configuration_offer const& offer)
 {
     if (!offer.has_range)
     {
         return;
     }
     bool const is_large = offer.patch.size() > configuration_offer::max_datagram_patch;
-    std::vector<offer_peer> const peers = ways_.peers();
-    std::size_t const fan_out = is_large ? usual_fan_out : fan_out_for(peers.size());
-    for (spread_target const& each : targets_of(offer.range, offer.version, peers, fan_out))
+    std::vector<broadcast_peer> const peers = callbacks_.peers();
+    std::size_t const fan_out = is_large ? tree_fan_out : fan_out_for(peers.size());
+    for (broadcast_target const& each : targets_of(offer.range, offer.version, peers, fan_out))
     {
         configuration_offer next = offer;
-        next.range = each.rest;
-        next.has_range = each.has_rest;
+        next.range = each.subrange;
+        next.has_range = each.has_subrange;
         // What is too large for a datagram is asked for, and then passed on by who has it.
         next.patch = is_large ? std::string{} : offer.patch;
-        ways_.send(std::string(1, mark) + protocol::encode(next, core_.settings.fleet_key),
-                   each.to);
+        callbacks_.send(std::string(1, datagram_tag) +
+                            protocol::encode(next, core_.settings.fleet_key),
+                        each.to);
     }
 }
 
-bool configuration_exchange::take(configuration_offer const& offer)
+bool configuration_exchange::apply(configuration_offer const& offer)
 {
     bool const fits = offer.base == 0 || offer.base == core_.version();
     if (offer.patch.empty() || !fits)
@@ -92,7 +94,7 @@
     }
     auto text =
         protocol::apply_patch(offer.base == 0 ? std::string_view{} : core_.configuration_text,
-                              offer.patch, protocol::most_configuration_bytes);
+                              offer.patch, protocol::max_configuration_bytes);
     // Texts of one version may differ where a peer's was damaged: only the digest shows it.
     if (!text || protocol::text_digest(text.value()) != offer.digest)
     {
@@ -101,10 +103,10 @@
                          {"base", static_cast<std::int64_t>(offer.base)}});
         return false;
     }
-    return core_.take_configuration(std::move(text).value(), source);
+    return core_.apply_configuration(std::move(text).value(), source);
 }
 
-void configuration_exchange::take_offer(std::span<char const> datagram, state::endpoint streams)
+void configuration_exchange::receive_offer(std::span<char const> datagram, state::endpoint streams)
 {
     auto const read = protocol::decode_configuration_offer(datagram, core_.settings.fleet_key);
     if (!read)
@@ -117,54 +119,56 @@
     {
         return;
     }
-    if (offer.version == core_.version() || take(offer))
+    if (offer.version == core_.version() || apply(offer))
     {
-        return pass_on(offer);
+        return forward_offer(offer);
     }
-    heard_of(offer.version);
-    ask(streams,
-        [this, offer](bool given)
-        {
-            if (given && core_.version() == offer.version)
-            {
-                pass_on(offer);
-            }
-        });
+    note_peer_version(offer.version);
+    request_offer(streams,
+                  [this, offer](bool given)
+                  {
+                      if (given && core_.version() == offer.version)
+                      {
+                          forward_offer(offer);
+                      }
+                  });
 }
 
 // -- what was missed ------------------------------------------------------------------------------
 
-void configuration_exchange::heard_of(std::uint64_t version)
+void configuration_exchange::note_peer_version(std::uint64_t version)
 {
-    catch_up_.heard_of(version, core_.version(), core_.fleet.interval(), boot_now());
+    catch_up_.note_peer_version(version, core_.version(), core_.fleet.reader_interval(),
+                                boot_now());
 }
 
 void configuration_exchange::advance()
 {
     state::time_point const now = boot_now();
-    switch (catch_up_.due(core_.version(), now))
+    switch (catch_up_.next_source(core_.version(), now))
     {
     case configuration_source::none:
         return;
     case configuration_source::peer:
-        if (auto const peer = core_.fleet.newer_configuration(core_.version(), core_.random(), now))
+        if (auto const peer =
+                core_.fleet.peer_with_newer_configuration(core_.version(), core_.random(), now))
         {
-            return ask(*peer,
-                       [this](bool given)
-                       {
-                           if (!given)
-                           {
-                               catch_up_.failed(boot_now());
-                           }
-                       });
+            return request_offer(*peer,
+                                 [this](bool given)
+                                 {
+                                     if (!given)
+                                     {
+                                         catch_up_.failed(boot_now());
+                                     }
+                                 });
         }
         return catch_up_.failed(now);
     case configuration_source::store:
-        return ways_.read_store([this] { catch_up_.failed(boot_now()); });
+        return callbacks_.read_store([this] { catch_up_.failed(boot_now()); });
     }
 }
 
-void configuration_exchange::ask(state::endpoint peer, std::function<void(bool)> done)
+void configuration_exchange::request_offer(state::endpoint peer, std::function<void(bool)> done)
 {
     fetch_request request;
     request.address = peer;
@@ -177,7 +181,7 @@
               auto const offer = is_whole ? protocol::decode_configuration_offer(
                                                 answer.value().body, core_.settings.fleet_key)
                                           : state::result<configuration_offer>{state::failure{}};
-              bool const given = offer && take(offer.value());
+              bool const given = offer && apply(offer.value());
               if (!given)
               {
                   core_.log.write(part, "peer gave none", {},
@@ -189,9 +193,9 @@
           });
 }
 
-std::string configuration_exchange::answer_to(std::string_view asked_at)
+std::string configuration_exchange::answer_to(std::string_view request_target)
 {
-    std::uint64_t const base = number_of(asked_at.substr(target.size()));
+    std::uint64_t const base = number_of(request_target.substr(target.size()));
     if (answered_version_ != core_.version() || answered_base_ != base)
     {
         answered_version_ = core_.version();
--- a/src/transport/control_runner.cpp
+++ b/src/transport/control_runner.cpp
@@ -21,10 +21,10 @@
 using udp = net::ip::udp;
 
 // Beyond the time that a watch may wait at the service.
-constexpr auto answer_time = std::chrono::seconds{2};
-constexpr unsigned stale_fence = 409;
+constexpr auto answer_timeout = std::chrono::seconds{2};
+constexpr unsigned stale_fence_status = 409;
 
-bool is_whole(state::result<fetch_answer> const& answer)
+bool is_success(state::result<fetch_answer> const& answer)
 {
     return answer && answer.value().status == 200;
 }
@@ -35,8 +35,8 @@
                                protocol::daemon_settings const& settings, udp::socket datagrams,
                                link_settings const& links, control_hooks hooks)
     : context_{context}, fetcher_{context}, node_{node}, settings_{settings},
-      datagrams_{std::move(datagrams)}, links_{links}, hooks_{std::move(hooks)}, timer_{context},
-      pause_watch_{settings.node.pause_tolerance, suspension()}
+      datagrams_{std::move(datagrams)}, link_settings_{links}, hooks_{std::move(hooks)},
+      timer_{context}, pause_detector_{settings.node.pause_tolerance, suspended_time()}
 {
 }
 
@@ -61,20 +61,22 @@
 
 void control_runner::handle(coordination::control_event const& event)
 {
-    state::duration const gap = pause_watch_.gap(now(), suspension(), armed_);
-    if (gap > state::duration::zero())
+    state::duration const pause_length =
+        pause_detector_.pause_length(now(), suspended_time(), timer_at_);
+    if (pause_length > state::duration::zero())
     {
         log(log_level::warning, "control",
-            "The process did not run for " + std::to_string(whole_milliseconds(gap)) + " ms.");
+            "The process did not run for " + std::to_string(whole_milliseconds(pause_length)) +
+                " ms.");
         ++metrics_.pauses;
-        hooks_.paused(gap);
-        feed(coordination::process_paused{gap});
+        hooks_.paused(pause_length);
+        apply_event(coordination::process_paused{pause_length});
     }
-    feed(event);
-    arm();
+    apply_event(event);
+    arm_timer();
 }
 
-void control_runner::feed(coordination::control_event const& event)
+void control_runner::apply_event(coordination::control_event const& event)
 {
     coordination::control_actions actions;
     node_.handle(event, now(), actions);
@@ -84,10 +86,10 @@
     }
 }
 
-void control_runner::arm()
+void control_runner::arm_timer()
 {
-    armed_ = node_.next_control_deadline();
-    timer_.expires_at(steady(armed_));
+    timer_at_ = node_.next_control_deadline();
+    timer_.expires_at(to_steady(timer_at_));
     timer_.async_wait(
         [this](boost::system::error_code error)
         {
@@ -108,7 +110,7 @@
     fetch(context_, std::move(request),
           [this, handler = std::move(handler)](state::result<fetch_answer> const& answer)
           {
-              metrics_.platform_failures += is_whole(answer) ? 0 : 1;
+              metrics_.platform_failures += is_success(answer) ? 0 : 1;
               handler(answer);
           });
 }
@@ -118,22 +120,22 @@
     fetch_request request;
     request.target = "/v1/config?after=" + std::to_string(action.after) +
                      "&wait_ms=" + std::to_string(whole_milliseconds(action.wait));
-    request.timeout = std::chrono::milliseconds{whole_milliseconds(action.wait + answer_time)};
+    request.timeout = std::chrono::milliseconds{whole_milliseconds(action.wait + answer_timeout)};
     fetch_platform(std::move(request),
                    [this](state::result<fetch_answer> const& answer) { on_configuration(answer); });
 }
 
 void control_runner::on_configuration(state::result<fetch_answer> const& answer)
 {
-    if (!is_whole(answer))
+    if (!is_success(answer))
     {
-        return handle(coordination::platform_failed{});
+        return handle(coordination::configuration_read_failed{});
     }
     auto const changes = protocol::decode_configuration(answer.value().body);
     if (!changes)
     {
         log(log_level::warning, "configuration", "Malformed: " + changes.error().detail + '.');
-        return handle(coordination::platform_failed{});
+        return handle(coordination::configuration_read_failed{});
     }
     for (coordination::control_event const& event : changes.value().events)
     {
@@ -149,7 +151,7 @@
     fetch_platform(std::move(request),
                    [this](state::result<fetch_answer> const& answer)
                    {
-                       if (!is_whole(answer))
+                       if (!is_success(answer))
                        {
                            return handle(coordination::vm_list_failed{});
                        }
@@ -174,7 +176,7 @@
     fetcher_.fetch(std::move(request),
                    [this, upstream = action.upstream](state::result<fetch_answer> const& answer)
                    {
-                       if (!is_whole(answer))
+                       if (!is_success(answer))
                        {
                            return handle(coordination::load_unavailable{upstream});
                        }
@@ -215,7 +217,7 @@
 void control_runner::on_order(state::upstream_id upstream,
                               state::result<fetch_answer> const& answer)
 {
-    if (!is_whole(answer) && !(answer && answer.value().status == stale_fence))
+    if (!is_success(answer) && !(answer && answer.value().status == stale_fence_status))
     {
         return handle(coordination::order_failed{upstream});
     }
@@ -231,7 +233,7 @@
 
 void control_runner::receive_datagram()
 {
-    datagrams_.async_receive_from(net::buffer(received_), sender_,
+    datagrams_.async_receive_from(net::buffer(datagram_buffer_), sender_,
                                   [this](boost::system::error_code error, std::size_t bytes)
                                   {
                                       if (error == net::error::operation_aborted)
@@ -251,8 +253,9 @@
 void control_runner::on_datagram(std::size_t bytes)
 {
     metrics_.datagram_bytes_received += bytes;
-    auto message = protocol::decode_peer_message(
-        {received_.data(), bytes}, settings_.node.fleet_key, settings_.node.accepted_fleet_keys);
+    auto message =
+        protocol::decode_peer_message({datagram_buffer_.data(), bytes}, settings_.node.fleet_key,
+                                      settings_.node.accepted_fleet_keys);
     if (!message || !sender_.address().is_v4())
     {
         ++metrics_.datagrams_rejected;
@@ -283,23 +286,23 @@
         if (auto* const content = std::get_if<protocol::link_content>(&frame.body))
         {
             on_content(action, std::move(*content));
-            end_content(fetch);
+            close_content_link(fetch);
         }
     };
     listener.closed = [this, action, fetch]
     {
         handle(coordination::content_unavailable{action.peer, action.content});
-        end_content(fetch);
+        close_content_link(fetch);
     };
-    auto const link = open_link(context_, action.streams, links_, std::move(listener));
+    auto const link = open_link(context_, action.streams, link_settings_, std::move(listener));
     content_links_.emplace(fetch, link);
     link->send({fetch, action.content});
 }
 
-void control_runner::on_content(coordination::request_content const& asked,
+void control_runner::on_content(coordination::request_content const& requested,
                                 protocol::link_content content)
 {
-    coordination::content_unavailable const missing{asked.peer, asked.content};
+    coordination::content_unavailable const missing{requested.peer, requested.content};
     if (content.text == nullptr)
     {
         return handle(missing);
@@ -318,7 +321,7 @@
 }
 
 // Called from the link itself, which must not end under its own feet.
-void control_runner::end_content(std::uint64_t fetch)
+void control_runner::close_content_link(std::uint64_t fetch)
 {
     net::post(context_,
               [this, fetch]
@@ -337,40 +340,41 @@
               [this, wanted, answer = std::move(answer)]
               {
                   state::exchange_handle const exchange{++next_exchange_};
-                  readers_.emplace(exchange, answer);
+                  pending_content_.emplace(exchange, answer);
                   handle(coordination::content_requested{exchange, wanted});
               });
 }
 
 void control_runner::carry_out(coordination::send_content const& action)
 {
-    if (auto const found = readers_.find(action.exchange); found != readers_.end())
+    if (auto const found = pending_content_.find(action.exchange); found != pending_content_.end())
     {
         answer_handler const answer = std::move(found->second);
-        readers_.erase(found);
+        pending_content_.erase(found);
         answer({action.content, action.key, action.text});
     }
 }
 
 // -- operators and life ---------------------------------------------------------------------------
 
-void control_runner::ask(coordination::operator_switch wanted, switch_handler answer)
+void control_runner::request_switch(coordination::operator_switch wanted, switch_handler answer)
 {
     net::post(context_,
               [this, wanted, answer = std::move(answer)]() mutable
               {
                   wanted.exchange = state::exchange_handle{++next_exchange_};
-                  operators_.emplace(wanted.exchange, std::move(answer));
+                  pending_switches_.emplace(wanted.exchange, std::move(answer));
                   handle(wanted);
               });
 }
 
 void control_runner::carry_out(coordination::answer_operator const& action)
 {
-    if (auto const found = operators_.find(action.exchange); found != operators_.end())
+    if (auto const found = pending_switches_.find(action.exchange);
+        found != pending_switches_.end())
     {
         switch_handler const answer = std::move(found->second);
-        operators_.erase(found);
+        pending_switches_.erase(found);
         answer(action.answer);
     }
 }
--- a/src/transport/control_runner.hpp
+++ b/src/transport/control_runner.hpp
@@ -4,7 +4,7 @@
 #include "http_fetch.hpp"
 #include "metrics.hpp"
 #include "net.hpp"
-#include "pause_watch.hpp"
+#include "pause_detector.hpp"
 #include "peer_link.hpp"
 
 #include <plumdale/coordination/entry_node.hpp>
@@ -48,7 +48,7 @@
     /// \brief Passes an event on; any thread may call.
     void post(coordination::control_event event);
     /// \brief Asks for a switch; any thread may call. `answer` is called on the control thread.
-    void ask(coordination::operator_switch wanted, switch_handler answer);
+    void request_switch(coordination::operator_switch wanted, switch_handler answer);
     void request(state::content_ref wanted, answer_handler answer) override;
 
     [[nodiscard]] control_metrics const& metrics() const noexcept
@@ -57,17 +57,17 @@
     }
 
 private:
-    static constexpr std::size_t datagram_bytes = 2048;
+    static constexpr std::size_t max_datagram_bytes = 2048;
 
     void handle(coordination::control_event const& event);
-    void feed(coordination::control_event const& event);
-    void arm();
+    void apply_event(coordination::control_event const& event);
+    void arm_timer();
     void receive_datagram();
     void on_datagram(std::size_t bytes);
     void on_configuration(state::result<fetch_answer> const& answer);
-    void on_content(coordination::request_content const& asked, protocol::link_content content);
+    void on_content(coordination::request_content const& requested, protocol::link_content content);
     void on_order(state::upstream_id upstream, state::result<fetch_answer> const& answer);
-    void end_content(std::uint64_t fetch);
+    void close_content_link(std::uint64_t fetch);
     void fetch_platform(fetch_request request, fetch_handler handler);
 
     void carry_out(coordination::read_configuration const& action);
@@ -87,17 +87,17 @@
     coordination::entry_node& node_;
     protocol::daemon_settings const& settings_;
     net::ip::udp::socket datagrams_;
-    link_settings links_;
+    link_settings link_settings_;
     control_hooks hooks_;
     net::steady_timer timer_;
-    state::time_point armed_ = state::never;
-    pause_watch pause_watch_;
+    state::time_point timer_at_ = state::never;
+    pause_detector pause_detector_;
     control_metrics metrics_;
     net::ip::udp::endpoint sender_;
-    std::array<char, datagram_bytes> received_{};
+    std::array<char, max_datagram_bytes> datagram_buffer_{};
     std::uint64_t next_exchange_ = 0;
-    std::unordered_map<state::exchange_handle, switch_handler> operators_;
-    std::unordered_map<state::exchange_handle, answer_handler> readers_;
+    std::unordered_map<state::exchange_handle, switch_handler> pending_switches_;
+    std::unordered_map<state::exchange_handle, answer_handler> pending_content_;
     std::unordered_map<std::uint64_t, std::shared_ptr<peer_link>> content_links_;
 };
 
--- a/src/transport/daemon.cpp
+++ b/src/transport/daemon.cpp
@@ -27,7 +27,7 @@
 using udp = net::ip::udp;
 using boost::system::error_code;
 
-constexpr auto replaced_poll = std::chrono::milliseconds{100};
+constexpr auto idle_poll_interval = std::chrono::milliseconds{100};
 
 std::uint64_t random_seed()
 {
@@ -38,7 +38,7 @@
 // A later start of the same VM must have a greater incarnation, though the VM keeps nothing: the
 // wall clock gives that unless it is set back by more than the time between two starts; then peers
 // tell the newest they know, and the process starts above it.
-state::incarnation this_uptime(state::incarnation floor)
+state::incarnation new_incarnation(state::incarnation floor)
 {
     auto const wall = std::chrono::system_clock::now().time_since_epoch();
     auto const micros = std::chrono::duration_cast<std::chrono::microseconds>(wall).count();
@@ -62,34 +62,34 @@
 {
 public:
     implementation(protocol::daemon_settings const& settings, sockets& sockets,
-                   policy_choice const& choose_policy)
+                   policy_selector const& choose_policy)
         : settings_{settings}, context_{sockets.control}, node_{settings_.node,
                                                                 choose_policy(settings_.node),
                                                                 random_seed()},
-          links_{settings_.node.self.id, settings_.node.fleet_key,
-                 settings_.node.accepted_fleet_keys},
-          workers_{make_workers(sockets)}, control_{context_,  node_,
-                                                    settings_, std::move(sockets.datagrams),
-                                                    links_,    hooks()},
+          link_settings_{settings_.node.self.id, settings_.node.fleet_key,
+                         settings_.node.accepted_fleet_keys},
+          workers_{make_workers(sockets)}, control_{context_,       node_,
+                                                    settings_,      std::move(sockets.datagrams),
+                                                    link_settings_, hooks()},
           admin_{node_, settings_, control_, workers_}, pages_{[this](page_request const& request,
-                                                                      page_answer const& answer)
+                                                                      page_callback const& answer)
                                                                {
                                                                    return admin_.handle(request,
                                                                                         answer);
                                                                }},
-          callers_{std::move(sockets.callers), workers_,
-                   [this](std::uint32_t index, tcp::socket socket)
-                   {
-                       on_caller(index, std::move(socket));
-                   }},
-          peers_{std::move(sockets.streams), workers_,
-                 [this](std::uint32_t index, tcp::socket socket)
-                 {
-                     relay_servers_[index]->serve(std::move(socket));
-                 }},
-          signals_{context_, SIGTERM, SIGINT}, replaced_timer_{context_}
+          caller_listener_{std::move(sockets.callers), workers_,
+                           [this](std::uint32_t index, tcp::socket socket)
+                           {
+                               on_caller(index, std::move(socket));
+                           }},
+          peer_listener_{std::move(sockets.streams), workers_,
+                         [this](std::uint32_t index, tcp::socket socket)
+                         {
+                             relay_servers_[index]->serve(std::move(socket));
+                         }},
+          signals_{context_, SIGTERM, SIGINT}, stop_timer_{context_}
     {
-        make_parts();
+        make_components();
     }
 
     ~implementation() override
@@ -97,27 +97,28 @@
         stop_workers();
     }
 
-    daemon_end run()
+    daemon_outcome run()
     {
         for (auto const& each : workers_)
         {
             each->start();
         }
         control_.start();
-        callers_.start();
-        peers_.start();
+        caller_listener_.start();
+        peer_listener_.start();
         wait_for_signal();
         log(log_level::info, "daemon",
             "Serving callers at " + protocol::to_text(settings_.callers) + ".");
         context_.run();
         stop_workers();
         log(log_level::info, "daemon", "Stopped.");
-        return end_;
+        return outcome_;
     }
 
-    std::uint32_t receive(coordination::request_received received, std::uint32_t near) override
+    std::uint32_t receive(coordination::request_received received,
+                          std::uint32_t preferred_shard) override
     {
-        std::uint32_t const shard = node_.shard_for(received.request, near);
+        std::uint32_t const shard = node_.shard_for(received.request, preferred_shard);
         shards_[shard]->post(std::move(received));
         return shard;
     }
@@ -148,8 +149,8 @@
         limits.header = settings_.header_limit;
         limits.body = settings_.body_limit;
         limits.buffer = settings_.caller_buffer;
-        limits.idle = milliseconds(settings_.idle_timeout);
-        limits.reading = milliseconds(settings_.request_timeout);
+        limits.keep_alive_timeout = milliseconds(settings_.idle_timeout);
+        limits.read_timeout = milliseconds(settings_.request_timeout);
         limits.stalled = 2 * milliseconds(settings_.node.slow_reader_time);
         return limits;
     }
@@ -159,14 +160,14 @@
         return std::chrono::duration_cast<std::chrono::milliseconds>(time);
     }
 
-    void make_parts()
+    void make_components()
     {
         for (std::uint32_t i = 0; i < node_.shard_count(); ++i)
         {
-            shards_.push_back(std::make_unique<shard_runner>(node_, i, workers_, links_,
+            shards_.push_back(std::make_unique<shard_runner>(node_, i, workers_, link_settings_,
                                                              settings_.node.pause_tolerance));
             relay_servers_.push_back(
-                std::make_unique<relay_server>(*workers_[i], *this, control_, links_));
+                std::make_unique<relay_server>(*workers_[i], *this, control_, link_settings_));
             session_contexts_.push_back(std::make_unique<session_context>(
                 session_context{*this, pages_, limits(), node_.fleet_reader()}));
         }
@@ -181,14 +182,14 @@
         };
         made.replaced = [this](coordination::incarnation_replaced replaced)
         {
-            end_.replaced_by = replaced.newest;
+            outcome_.replaced_by = replaced.newest;
             stop_when_idle();
         };
-        made.paused = [this](state::duration gap)
+        made.paused = [this](state::duration pause_length)
         {
             for (auto const& each : shards_)
             {
-                each->post(coordination::process_paused{gap});
+                each->post(coordination::process_paused{pause_length});
             }
         };
         return made;
@@ -198,12 +199,12 @@
 
     void on_caller(std::uint32_t index, tcp::socket socket)
     {
-        worker& home = *workers_[index];
-        auto const open = home.metrics().counts.connections;
+        worker& caller_worker = *workers_[index];
+        auto const open = caller_worker.metrics().counts.connections;
         bool const full =
             open >= static_cast<std::int64_t>(settings_.connection_limit / workers_.size() + 1);
         full ? refuse_caller(std::move(socket))
-             : serve_caller(home, *session_contexts_[index], std::move(socket));
+             : serve_caller(caller_worker, *session_contexts_[index], std::move(socket));
     }
 
     // -- life ---------------------------------------------------------------------------------
@@ -227,7 +228,7 @@
 
     void on_drained(coordination::drain_finished end)
     {
-        end_.in_flight = end.in_flight;
+        outcome_.in_flight = end.in_flight;
         if (end.in_flight > 0)
         {
             log(log_level::warning, "daemon",
@@ -235,19 +236,20 @@
                     " in flight; their callers are told.");
             for (auto const& each : workers_)
             {
-                net::post(each->context(), [&home = *each] { home.interrupt_callers(); });
+                net::post(each->context(),
+                          [&caller_worker = *each] { caller_worker.interrupt_callers(); });
             }
         }
         // What was answered last is still in buffers: its callers' sockets get a moment.
-        replaced_timer_.expires_after(
+        stop_timer_.expires_after(
             std::chrono::duration_cast<std::chrono::milliseconds>(settings_.drain_linger));
-        replaced_timer_.async_wait([this](error_code) { context_.stop(); });
+        stop_timer_.async_wait([this](error_code) { context_.stop(); });
     }
 
     void stop_when_idle()
     {
-        replaced_timer_.expires_after(replaced_poll);
-        replaced_timer_.async_wait(
+        stop_timer_.expires_after(idle_poll_interval);
+        stop_timer_.async_wait(
             [this](error_code error)
             {
                 if (!error)
@@ -268,7 +270,7 @@
     protocol::daemon_settings const& settings_;
     net::io_context& context_;
     coordination::entry_node node_;
-    link_settings links_;
+    link_settings link_settings_;
     std::vector<std::unique_ptr<worker>> workers_;
     control_runner control_;
     admin_pages admin_;
@@ -276,14 +278,14 @@
     std::vector<std::unique_ptr<session_context>> session_contexts_;
     std::vector<std::unique_ptr<shard_runner>> shards_;
     std::vector<std::unique_ptr<relay_server>> relay_servers_;
-    listener callers_;
-    listener peers_;
+    listener caller_listener_;
+    listener peer_listener_;
     net::signal_set signals_;
-    net::steady_timer replaced_timer_;
-    daemon_end end_;
+    net::steady_timer stop_timer_;
+    daemon_outcome outcome_;
 };
 
-daemon::daemon(protocol::daemon_settings settings, policy_choice choose_policy,
+daemon::daemon(protocol::daemon_settings settings, policy_selector choose_policy,
                state::incarnation incarnation_floor)
     : settings_{std::move(settings)}, choose_policy_{std::move(choose_policy)},
       incarnation_floor_{incarnation_floor}
@@ -301,8 +303,8 @@
     BOOST_OUTCOME_TRY(node.self.streams, open_acceptor(sockets_->streams, node.self.streams));
     BOOST_OUTCOME_TRY(node.self.datagrams,
                       open_datagrams(sockets_->datagrams, node.self.datagrams));
-    node.self.id = state::named<state::node_id>(protocol::to_text(node.self.datagrams));
-    node.self.uptime = this_uptime(incarnation_floor_);
+    node.self.id = state::id_from_name<state::node_id>(protocol::to_text(node.self.datagrams));
+    node.self.incarnation_number = new_incarnation(incarnation_floor_);
     implementation_ = std::make_unique<implementation>(settings_, *sockets_, choose_policy_);
     return boost::outcome_v2::success();
 }
@@ -312,7 +314,7 @@
     return settings_;
 }
 
-daemon_end daemon::run()
+daemon_outcome daemon::run()
 {
     return implementation_->run();
 }
--- a/src/transport/decision_log.cpp
+++ b/src/transport/decision_log.cpp
@@ -83,7 +83,7 @@
 
 // Whole lines of at most what a pipe takes at once: a process that loses power between two parts of
 // a line leaves half of it, and the next process's first line stands inside it.
-std::size_t decision_log::next_part() const noexcept
+std::size_t decision_log::next_write_size() const noexcept
 {
     if (buffer_.size() <= PIPE_BUF)
     {
@@ -97,16 +97,16 @@
 {
     while (!buffer_.empty())
     {
-        ssize_t const written = ::write(descriptor_, buffer_.data(), next_part());
+        ssize_t const written = ::write(descriptor_, buffer_.data(), next_write_size());
         if (written <= 0)
         {
             return;
         }
         buffer_.erase(0, static_cast<std::size_t>(written));
     }
-    if (dropped_ != told_dropped_)
+    if (dropped_ != reported_dropped_)
     {
-        std::uint64_t const lost = dropped_ - std::exchange(told_dropped_, dropped_);
+        std::uint64_t const lost = dropped_ - std::exchange(reported_dropped_, dropped_);
         write("log", "lines dropped", {}, {{"lines", static_cast<std::int64_t>(lost)}});
     }
 }
--- a/src/transport/decision_log.hpp
+++ b/src/transport/decision_log.hpp
@@ -59,14 +59,14 @@
     static constexpr std::uint32_t lines_per_second = 400;
 
 private:
-    [[nodiscard]] std::size_t next_part() const noexcept;
+    [[nodiscard]] std::size_t next_write_size() const noexcept;
     [[nodiscard]] bool within_rate(state::time_point now) noexcept;
 
     int descriptor_;
     std::string node_;
     std::string buffer_;
     std::uint64_t dropped_ = 0;
-    std::uint64_t told_dropped_ = 0;
+    std::uint64_t reported_dropped_ = 0;
     std::int64_t second_ = 0;
     std::uint32_t lines_ = 0;
 };
--- a/src/transport/departure_board.cpp
+++ b/src/transport/departure_tracker.cpp
@@ -1,4 +1,4 @@
-#include "departure_board.hpp"
+#include "departure_tracker.hpp"
 
 #include "boot_clock.hpp"
 #include "http_fetch.hpp"
@@ -25,58 +25,59 @@
 
 } // namespace
 
-departure_board::departure_board(net::io_context& context, protocol::dialect const& dialect,
-                                 coordination::service_directory const& directory,
-                                 coordination::load_ledger const& ledger, decision_log& log,
-                                 start_handler started)
-    : context_{context}, dialect_{dialect},
-      directory_{directory}, ledger_{ledger}, log_{log}, started_{std::move(started)}
+departure_tracker::departure_tracker(net::io_context& context, protocol::dialect const& dialect,
+                                     coordination::service_directory const& directory,
+                                     coordination::load_ledger const& ledger, decision_log& log,
+                                     restart_handler started)
+    : context_{context}, dialect_{dialect}, directory_{directory}, ledger_{ledger}, log_{log},
+      on_restart_{std::move(started)}
 {
 }
 
-void departure_board::listen(departure_listener& listener)
+void departure_tracker::add_listener(departure_listener& listener)
 {
     listeners_.insert(&listener);
 }
 
-void departure_board::forget(departure_listener& listener)
+void departure_tracker::remove_listener(departure_listener& listener)
 {
     listeners_.erase(&listener);
 }
 
-coordination::departure const* departure_board::find(state::member_key member) const
+coordination::departure const* departure_tracker::find(state::member_key member) const
 {
     auto const found = departures_.find(member);
     return found == departures_.end() ? nullptr : &found->second;
 }
 
-bool departure_board::departs(state::member_key member)
+bool departure_tracker::record_departure(state::member_key member)
 {
     coordination::departure const now_learnt{boot_now(), std::nullopt};
     if (!departures_.try_emplace(member, now_learnt).second)
     {
         return false;
     }
-    tell(member);
+    notify(member);
     // Only who has generations there needs to know when it goes.
     if (ledger_.own(member).tokens > 0)
     {
-        ask_later(member);
+        schedule_report_request(member);
     }
     return true;
 }
 
-void departure_board::lost(state::member_key former)
+void departure_tracker::notify_restart(state::member_key former)
 {
-    tell_listeners([former](departure_listener& listener) { listener.member_lost(former); });
+    notify_listeners([former](departure_listener& listener)
+                     { listener.on_member_restarted(former); });
 }
 
-void departure_board::evacuated(state::zone_id zone)
+void departure_tracker::notify_evacuation(state::zone_id zone)
 {
-    tell_listeners([zone](departure_listener& listener) { listener.zone_evacuated(zone); });
+    notify_listeners([zone](departure_listener& listener) { listener.on_zone_evacuated(zone); });
 }
 
-void departure_board::sweep()
+void departure_tracker::sweep()
 {
     std::erase_if(departures_,
                   [this](auto const& row) { return directory_.find(row.first) == nullptr; });
@@ -85,7 +86,7 @@
 // -- reports --------------------------------------------------------------------------------------
 
 // Reports are as old as `report_lag`: asked at once, one would still say that the upstream stays.
-void departure_board::ask_later(state::member_key member)
+void departure_tracker::schedule_report_request(state::member_key member)
 {
     auto const timer = std::make_shared<net::steady_timer>(context_, report_lag + report_slack);
     timer->async_wait(
@@ -93,19 +94,19 @@
         {
             if (!error)
             {
-                ask(member);
+                request_report(member);
             }
         });
 }
 
-void departure_board::ask(state::member_key member)
+void departure_tracker::request_report(state::member_key member)
 {
     coordination::directory_entry const* const entry = directory_.find(member);
     if (entry == nullptr)
     {
         return;
     }
-    protocol::own_request const wanted = dialect_.report_request();
+    protocol::upstream_request const wanted = dialect_.report_request();
     fetch_request request;
     request.address = entry->info.address;
     request.method = wanted.method;
@@ -115,14 +116,14 @@
           [this, member](state::result<fetch_answer> const& answer)
           {
               bool const is_whole = answer && answer.value().status == success;
-              take_report(member, is_whole
-                                      ? dialect_.read_report(answer.value().body)
-                                      : state::result<protocol::member_report>{state::failure{}});
+              apply_report(member, is_whole
+                                       ? dialect_.read_report(answer.value().body)
+                                       : state::result<protocol::member_report>{state::failure{}});
           });
 }
 
-void departure_board::take_report(state::member_key member,
-                                  state::result<protocol::member_report> const& report)
+void departure_tracker::apply_report(state::member_key member,
+                                     state::result<protocol::member_report> const& report)
 {
     coordination::directory_entry const* const entry = directory_.find(member);
     bool const is_of_later = report && entry != nullptr && entry->info.started.value != 0 &&
@@ -135,25 +136,25 @@
     if (is_of_later)
     {
         // The platform's list may tell it seconds later, or not while it is away.
-        return started_(member, report.value().started);
+        return on_restart_(member, report.value().started);
     }
     if (leaves_in)
     {
         departures_[member].leaves_at = boot_now() + *leaves_in - report_lag;
     }
-    tell(member);
+    notify(member);
 }
 
 // -- listeners ------------------------------------------------------------------------------------
 
-void departure_board::tell(state::member_key member)
+void departure_tracker::notify(state::member_key member)
 {
     coordination::departure const when = departures_[member];
-    tell_listeners([member, &when](departure_listener& listener)
-                   { listener.member_leaves(member, when); });
+    notify_listeners([member, &when](departure_listener& listener)
+                     { listener.on_member_leaving(member, when); });
 }
 
-void departure_board::tell_listeners(std::function<void(departure_listener&)> const& tell)
+void departure_tracker::notify_listeners(std::function<void(departure_listener&)> const& notify)
 {
     // Listeners may go while they are told.
     std::vector<departure_listener*> const told{listeners_.begin(), listeners_.end()};
@@ -161,7 +162,7 @@
     {
         if (listeners_.contains(listener))
         {
-            tell(*listener);
+            notify(*listener);
         }
     }
 }
--- a/src/transport/change_lines.cpp
+++ b/src/transport/directory_change_log.cpp
@@ -1,4 +1,4 @@
-#include "change_lines.hpp"
+#include "directory_change_log.hpp"
 
 #include <plumdale/state/store_position.hpp>
 
@@ -18,11 +18,11 @@
 
 } // namespace
 
-void change_lines::add(coordination::directory_change change, state::service_member const& member,
-                       std::string_view source)
+void directory_change_log::add(coordination::directory_change change,
+                               state::service_member const& member, std::string_view source)
 {
     batch& into = batches_[static_cast<std::size_t>(change)];
-    if (into.count < most_names)
+    if (into.count < max_names)
     {
         into.names += into.names.empty() ? "" : " ";
         into.names += member.name;
@@ -40,12 +40,12 @@
     }
 }
 
-void change_lines::flush(std::uint64_t digest, state::time_point now)
+void directory_change_log::flush(std::uint64_t digest, state::time_point now)
 {
     for (std::size_t kind = 0; kind < batches_.size(); ++kind)
     {
         batch& from = batches_[kind];
-        if (from.count != 0 && from.written + spacing <= now)
+        if (from.count != 0 && from.written + line_interval <= now)
         {
             write(kind, from, digest);
             from = {};
@@ -54,7 +54,7 @@
     }
 }
 
-void change_lines::write(std::size_t kind, batch& from, std::uint64_t digest)
+void directory_change_log::write(std::size_t kind, batch& from, std::uint64_t digest)
 {
     log_.write(part, decisions[kind], {},
                {{"upstream", from.names},
--- a/src/transport/change_lines.hpp
+++ b/src/transport/directory_change_log.hpp
@@ -22,10 +22,10 @@
 /// A line for each change at each entry VM says hundreds of times what one reader learnt, and in a
 /// release it crowds out the lines of calls. A change is written at once where none was lately, and
 /// together with those that follow it otherwise.
-class change_lines
+class directory_change_log
 {
 public:
-    explicit change_lines(decision_log& log) noexcept : log_{log} {}
+    explicit directory_change_log(decision_log& log) noexcept : log_{log} {}
 
     void add(coordination::directory_change change, state::service_member const& member,
              std::string_view source);
@@ -33,9 +33,9 @@
     void flush(std::uint64_t digest, state::time_point now);
 
     /// \brief Time between two lines of one kind of change.
-    static constexpr state::duration spacing = std::chrono::seconds{2};
+    static constexpr state::duration line_interval = std::chrono::seconds{2};
     /// \brief Names in a line; the others are counted.
-    static constexpr std::size_t most_names = 120;
+    static constexpr std::size_t max_names = 120;
 
 private:
     struct batch
--- a/src/transport/engine_stream.cpp
+++ b/src/transport/engine_stream.cpp
@@ -24,11 +24,11 @@
 using coordination::stream_mode;
 using coordination::upstream_failure;
 
-constexpr std::size_t read_bytes = 4096;
+constexpr std::size_t read_buffer_bytes = 4096;
 constexpr auto connect_timeout = std::chrono::seconds{2};
-constexpr std::uint64_t stream_limit = 256ULL * 1024 * 1024;
+constexpr std::uint64_t max_stream_bytes = 256ULL * 1024 * 1024;
 // A plain call's answer is held whole.
-constexpr std::uint64_t call_limit = 16ULL * 1024 * 1024;
+constexpr std::uint64_t max_call_bytes = 16ULL * 1024 * 1024;
 
 /// \brief Speaks the engines' HTTP protocol, or passes a plain call on.
 class http_stream final : public upstream_stream, public std::enable_shared_from_this<http_stream>
@@ -39,7 +39,7 @@
         : socket_{context}, open_{std::move(open)}, model_{std::move(model)}, listener_{std::move(
                                                                                   listener)}
     {
-        parser_.body_limit(is_call() ? call_limit : stream_limit);
+        parser_.body_limit(is_call() ? max_call_bytes : max_stream_bytes);
     }
 
     void start()
@@ -57,7 +57,7 @@
     void resume() override
     {
         paused_ = false;
-        if (std::exchange(read_wanted_, false))
+        if (std::exchange(read_deferred_, false))
         {
             read();
         }
@@ -155,11 +155,11 @@
     {
         if (paused_)
         {
-            read_wanted_ = true;
+            read_deferred_ = true;
             return;
         }
-        parser_.get().body().data = bytes_.data();
-        parser_.get().body().size = bytes_.size();
+        parser_.get().body().data = read_buffer_.data();
+        parser_.get().body().size = read_buffer_.size();
         http::async_read_some(socket_, buffer_, parser_,
                               [self = shared_from_this()](error_code error, std::size_t)
                               { self->on_read(error); });
@@ -179,8 +179,8 @@
         {
             return fail(upstream_failure::broken);
         }
-        std::size_t const got = bytes_.size() - parser_.get().body().size;
-        std::string_view const bytes{bytes_.data(), got};
+        std::size_t const got = read_buffer_.size() - parser_.get().body().size;
+        std::string_view const bytes{read_buffer_.data(), got};
         if (is_call())
         {
             call_body_ += bytes;
@@ -190,14 +190,14 @@
         {
             return fail(upstream_failure::invalid);
         }
-        take_events();
+        emit_events();
         if (listener_ != nullptr)
         {
             parser_.is_done() ? on_end() : read();
         }
     }
 
-    void take_events()
+    void emit_events()
     {
         std::string data;
         while (listener_ != nullptr && splitter_.next(data))
@@ -236,9 +236,9 @@
         end(coordination::upstream_finished{open_.stream, open_.generation, 1, status});
     }
 
-    void fail(upstream_failure why)
+    void fail(upstream_failure cause)
     {
-        end(coordination::upstream_failed{open_.stream, why});
+        end(coordination::upstream_failed{open_.stream, cause});
     }
 
     void emit(request_event event)
@@ -266,11 +266,11 @@
     http::request<http::string_body> request_;
     http::response_parser<http::buffer_body> parser_;
     beast::flat_buffer buffer_;
-    std::array<char, read_bytes> bytes_{};
-    protocol::event_splitter splitter_;
+    std::array<char, read_buffer_bytes> read_buffer_{};
+    protocol::event_data_splitter splitter_;
     std::string call_body_;
     bool paused_ = false;
-    bool read_wanted_ = false;
+    bool read_deferred_ = false;
 };
 
 } // namespace
--- a/src/transport/fleet_exchange.cpp
+++ b/src/transport/fleet_exchange.cpp
@@ -29,24 +29,24 @@
 // KB/s at this interval.
 constexpr state::duration probe_interval = std::chrono::seconds{1};
 // Between two questions for a directory: hundreds that lack the same ask at different moments.
-constexpr state::duration directory_pause = std::chrono::milliseconds{200};
+constexpr state::duration directory_fetch_interval = std::chrono::milliseconds{200};
 // Between two lines of how many peers are there.
-constexpr state::duration live_line_pause = std::chrono::seconds{1};
+constexpr state::duration live_count_log_interval = std::chrono::seconds{1};
 
 // Grows from start to start unless the time of day steps back; peers allow for that.
-state::incarnation this_uptime()
+state::incarnation new_incarnation()
 {
     auto const wall = std::chrono::system_clock::now().time_since_epoch();
     return {static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(wall).count())};
 }
 
-node_settings settings_of(protocol::forward_settings const& from, state::endpoint streams)
+node_settings make_node_settings(protocol::forward_settings const& from, state::endpoint streams)
 {
     node_settings settings;
-    settings.self.id = state::named<state::node_id>(protocol::to_text(from.datagrams));
-    settings.self.zone = state::named<state::zone_id>(from.zone);
-    settings.self.uptime = this_uptime();
+    settings.self.id = state::id_from_name<state::node_id>(protocol::to_text(from.datagrams));
+    settings.self.zone = state::id_from_name<state::zone_id>(from.zone);
+    settings.self.incarnation_number = new_incarnation();
     settings.self.datagrams = from.datagrams;
     settings.self.streams = streams;
     settings.fleet_key = from.fleet_key;
@@ -62,10 +62,10 @@
                                std::function<std::optional<state::time_point>()> last_read,
                                std::function<void(std::function<void()>)> read_store)
     : core_{core}, socket_{std::move(socket)},
-      last_read_{std::move(last_read)}, settings_{settings_of(core.settings, streams)},
+      last_read_{std::move(last_read)}, settings_{make_node_settings(core.settings, streams)},
       members_{settings_, core.random()}, loads_{core.settings.load_news_bytes_per_second},
       configurations_{core,
-                      {[this] { return offer_peers(); },
+                      {[this] { return broadcast_peers(); },
                        [this](std::string datagram, state::endpoint to)
                        { send(std::move(datagram), to); },
                        std::move(read_store)}}
@@ -105,25 +105,25 @@
         return;
     }
     std::span<char const> const text{received_.data() + 1, bytes - 1};
-    if (received_[0] == members_mark)
+    if (received_[0] == membership_tag)
     {
-        return take_peer_message(text, from);
+        return receive_peer_message(text, from);
     }
-    if (received_[0] == configuration_exchange::mark)
+    if (received_[0] == configuration_exchange::datagram_tag)
     {
-        return configurations_.take_offer(text, {from.address, settings_.self.streams.port});
+        return configurations_.receive_offer(text, {from.address, settings_.self.streams.port});
     }
-    auto const news = protocol::decode_fleet_news(text, settings_.fleet_key);
-    if (received_[0] != news_mark || !news)
+    auto const update = protocol::decode_fleet_update(text, settings_.fleet_key);
+    if (received_[0] != update_tag || !update)
     {
         core_.metrics.add(forward_count::news_rejected);
         return;
     }
     core_.metrics.add(forward_count::news_received);
-    take_news(news.value(), from);
+    process_update(update.value(), from);
 }
 
-void fleet_exchange::take_peer_message(std::span<char const> text, state::endpoint from)
+void fleet_exchange::receive_peer_message(std::span<char const> text, state::endpoint from)
 {
     auto const message = protocol::decode_peer_message(text, settings_.fleet_key);
     if (!message)
@@ -136,38 +136,39 @@
     carry_out(actions);
 }
 
-void fleet_exchange::take_news(fleet_news const& news, state::endpoint from)
+void fleet_exchange::process_update(fleet_update const& update, state::endpoint from)
 {
-    core_.take_evacuations(news.evacuations, part);
-    core_.quarantine.take(news.evidence);
-    core_.limits.take(news.limits);
-    take_members(news);
+    core_.apply_evacuations(update.evacuations, part);
+    core_.quarantine.take(update.evidence);
+    core_.limits.take(update.limits);
+    apply_members(update);
     state::time_point const now = boot_now();
     // All entry VMs use the same ports.
     state::endpoint const streams{from.address, settings_.self.streams.port};
-    if (!core_.fleet.hear(news, streams, core_.directory.digest(), now))
+    if (!core_.fleet.apply_update(update, streams, core_.directory.digest(), now))
     {
         return;
     }
-    tell_differing(news, from);
-    core_.ledger.take(news.sender, news.uptime, news.sequence, news.whole, news.loads, now);
-    configurations_.heard_of(news.configuration);
+    exchange_evidence(update, from);
+    core_.ledger.take(update.sender, update.incarnation_number, update.sequence, update.whole,
+                      update.loads, now);
+    configurations_.note_peer_version(update.configuration);
 }
 
 // Whatever order messages come in: upstreams join by their revisions, and a part of the fleet waits
 // for what is passed on from here.
-void fleet_exchange::take_members(fleet_news const& news)
+void fleet_exchange::apply_members(fleet_update const& update)
 {
-    std::size_t const untold = core_.untold.size();
-    core_.take_members(news.members, part);
+    std::size_t const unreported = core_.unreported.size();
+    core_.apply_members(update.members, part);
     // They reach the others as this did.
-    core_.untold.resize(untold);
-    pass_on(news);
+    core_.unreported.resize(unreported);
+    forward_update(update);
 }
 
 // -- what is lacking ------------------------------------------------------------------------------
 
-void fleet_exchange::spread_configuration()
+void fleet_exchange::broadcast_configuration()
 {
     configurations_.spread();
 }
@@ -177,19 +178,19 @@
     return configurations_.answer_to(target);
 }
 
-void fleet_exchange::fetch_what_differs(state::time_point now)
+void fleet_exchange::sync_directory(state::time_point now)
 {
-    if (now < directory_fetch_at_)
+    if (now < next_directory_fetch_at_)
     {
         return;
     }
-    auto const peer = core_.has_list ? core_.fleet.better_directory(core_.random(), now)
-                                     : core_.fleet.informed_peer(core_.random(), now);
+    auto const peer = core_.has_list ? core_.fleet.peer_with_newer_directory(core_.random(), now)
+                                     : core_.fleet.bootstrap_peer(core_.random(), now);
     if (peer)
     {
-        std::uniform_int_distribution<state::duration::rep> spread{directory_pause.count() / 2,
-                                                                   directory_pause.count()};
-        directory_fetch_at_ = now + state::duration{spread(core_.random)};
+        std::uniform_int_distribution<state::duration::rep> spread{
+            directory_fetch_interval.count() / 2, directory_fetch_interval.count()};
+        next_directory_fetch_at_ = now + state::duration{spread(core_.random)};
         fetch_directory(*peer);
     }
 }
@@ -209,7 +210,7 @@
     if (core_.has_list)
     {
         request.method = "POST";
-        request.body = protocol::encode(core_.directory.parts());
+        request.body = protocol::encode(core_.directory.digests_by_bucket());
     }
     fetch(core_.context, std::move(request),
           [this, peer](state::result<fetch_answer> const& answer)
@@ -226,12 +227,12 @@
                                                      : answer.error().detail}});
                   return;
               }
-              core_.take_evacuations(copy.value().evacuations, part);
-              std::size_t const untold = core_.untold.size();
+              core_.apply_evacuations(copy.value().evacuations, part);
+              std::size_t const unreported = core_.unreported.size();
               copy.value().revision != 0
-                  ? core_.take_list(copy.value().members, {}, copy.value().revision, part)
-                  : core_.take_members(copy.value().members, part);
-              core_.untold.resize(untold);
+                  ? core_.apply_list(copy.value().members, {}, copy.value().revision, part)
+                  : core_.apply_members(copy.value().members, part);
+              core_.unreported.resize(unreported);
           });
 }
 
@@ -248,16 +249,16 @@
     }
 }
 
-void fleet_exchange::note_peers(state::time_point now)
+void fleet_exchange::log_live_peers(state::time_point now)
 {
-    std::size_t const live = core_.fleet.live(now);
-    if (live != live_ && live_told_ + live_line_pause <= now)
+    std::size_t const live_count = core_.fleet.live_count(now);
+    if (live_count != logged_live_count_ && live_count_logged_at_ + live_count_log_interval <= now)
     {
-        live_told_ = now;
-        core_.log.write(part, live > live_ ? "peers joined" : "peers lost", {},
-                        {{"live", static_cast<std::int64_t>(live)},
-                         {"before", static_cast<std::int64_t>(live_)}});
-        live_ = live;
+        live_count_logged_at_ = now;
+        core_.log.write(part, live_count > logged_live_count_ ? "peers joined" : "peers lost", {},
+                        {{"live", static_cast<std::int64_t>(live_count)},
+                         {"before", static_cast<std::int64_t>(logged_live_count_)}});
+        logged_live_count_ = live_count;
     }
 }
 
@@ -265,27 +266,27 @@
 {
     state::time_point const now = boot_now();
     advance_members();
-    core_.ledger.forget_silent(now, core_.fleet.silence() + fleet_view::most_interval);
+    core_.ledger.forget_silent(now, core_.fleet.silence_timeout() + fleet_view::max_interval);
     core_.fleet.forget_silent(now);
-    note_peers(now);
-    fetch_what_differs(now);
+    log_live_peers(now);
+    sync_directory(now);
     configurations_.advance();
     bool const lost = !last_read_();
-    bool const begins_to_read = core_.reads_store && !told_reads_;
-    bool const is_urgent = lost != told_lost_ || begins_to_read;
-    tell_members();
-    if (now >= whole_at_)
+    bool const begins_to_read = core_.is_active_reader && !announced_is_reader_;
+    bool const is_urgent = lost != announced_store_lost_ || begins_to_read;
+    announce_members();
+    if (now >= next_full_update_at_)
     {
-        whole_at_ =
-            now + (core_.fleet.is_reader() ? core_.fleet.interval() : core_.fleet.calm_interval());
-        tell_whole();
-        tell_confirmed_limits();
+        next_full_update_at_ = now + (core_.fleet.is_reader() ? core_.fleet.reader_interval()
+                                                              : core_.fleet.follower_interval());
+        send_full_update();
+        send_confirmed_limits();
     }
     else if (is_urgent)
     {
-        tell_standing();
+        send_status();
     }
-    tell_loads();
+    announce_loads();
 }
 
 void fleet_exchange::leave()
--- a/src/transport/fleet_exchange.hpp
+++ b/src/transport/fleet_exchange.hpp
@@ -4,7 +4,7 @@
 #include "forward_core.hpp"
 
 #include <plumdale/coordination/evidence_exchange.hpp>
-#include <plumdale/coordination/load_news.hpp>
+#include <plumdale/coordination/load_update_queue.hpp>
 #include <plumdale/coordination/membership.hpp>
 #include <plumdale/coordination/node_settings.hpp>
 
@@ -39,56 +39,56 @@
     /// \brief Does what is due; called several times a second.
     void advance();
     /// \brief This VM read a newer configuration: all are to have it.
-    void spread_configuration();
+    void broadcast_configuration();
     /// \brief This VM read of an order of evacuation: all are to know.
-    void spread_evacuations();
+    void broadcast_evacuations();
     /// \brief Returns the body for a peer that asks for the configuration at `target`.
     [[nodiscard]] std::string configuration_for(std::string_view target);
     /// \brief The own load at an upstream changed: told at once, as far as the budget goes.
-    void tell_load(state::member_key member);
+    void announce_load(state::member_key member);
     /// \brief There may be news of requests that end upstreams: all are to know.
-    void tell_evidence();
+    void announce_evidence();
     /// \brief There may be news of what upstreams state that they take: all are to know.
-    void tell_limits();
+    void announce_limits();
     /// \brief This VM leaves the fleet.
     void leave();
 
     /// \brief Path at which peers give out their directory of upstreams.
     static constexpr std::string_view directory_target = "/fleet/upstreams";
     /// \brief The first byte of a datagram says which codec reads the rest.
-    static constexpr char members_mark = 'm';
-    static constexpr char news_mark = 'n';
+    static constexpr char membership_tag = 'm';
+    static constexpr char update_tag = 'n';
 
 private:
     void receive();
     void on_datagram(std::size_t bytes);
-    void take_news(coordination::fleet_news const& news, state::endpoint from);
-    void take_members(coordination::fleet_news const& news);
-    void take_peer_message(std::span<char const> text, state::endpoint from);
+    void process_update(coordination::fleet_update const& update, state::endpoint from);
+    void apply_members(coordination::fleet_update const& update);
+    void receive_peer_message(std::span<char const> text, state::endpoint from);
     void carry_out(coordination::control_actions const& actions);
     void advance_members();
-    void tell_whole();
-    void tell_standing();
-    void tell_confirmed_limits();
-    void tell_members();
-    void tell_loads();
-    void note_told(coordination::fleet_news const& news);
+    void send_full_update();
+    void send_status();
+    void send_confirmed_limits();
+    void announce_members();
+    void announce_loads();
+    void record_sent_status(coordination::fleet_update const& update);
     /// \brief Exchanges with a peer what is known of requests that end upstreams, where it differs.
-    void tell_differing(coordination::fleet_news const& heard, state::endpoint to);
+    void exchange_evidence(coordination::fleet_update const& received, state::endpoint to);
     /// \brief Begins a message to all, along as many trees as make up for a lost datagram.
-    void spread(coordination::fleet_news& news);
+    void spread(coordination::fleet_update& update);
     /// \brief Sends upstreams and orders to the heads of a range, who pass them on.
-    void pass_on(coordination::fleet_news const& from);
-    [[nodiscard]] coordination::fleet_news news_header();
-    [[nodiscard]] coordination::fleet_news news_with_orders();
+    void forward_update(coordination::fleet_update const& from);
+    [[nodiscard]] coordination::fleet_update make_update();
+    [[nodiscard]] coordination::fleet_update make_update_with_orders();
     void send(std::string datagram, state::endpoint to);
     /// \brief Numbers a message and sends it to all of `peers`.
-    void send(coordination::fleet_news& news, std::span<state::endpoint const> peers);
-    void note_peers(state::time_point now);
+    void send(coordination::fleet_update& update, std::span<state::endpoint const> peers);
+    void log_live_peers(state::time_point now);
     void fetch_directory(state::endpoint peer);
-    void fetch_what_differs(state::time_point now);
-    [[nodiscard]] std::vector<state::endpoint> audience() const;
-    [[nodiscard]] std::vector<offer_peer> offer_peers() const;
+    void sync_directory(state::time_point now);
+    [[nodiscard]] std::vector<state::endpoint> recipients() const;
+    [[nodiscard]] std::vector<broadcast_peer> broadcast_peers() const;
 
     forward_core& core_;
     net::ip::udp::socket socket_;
@@ -98,16 +98,16 @@
     coordination::node_settings settings_;
     coordination::membership members_;
     std::uint64_t sequence_ = 0;
-    state::time_point whole_at_{};
-    coordination::load_news loads_;
+    state::time_point next_full_update_at_{};
+    coordination::load_update_queue loads_;
     configuration_exchange configurations_;
-    bool told_lost_ = false;
-    bool told_reads_ = false;
-    bool telling_ = false;
-    std::size_t live_ = 1;
-    state::time_point live_told_{};
+    bool announced_store_lost_ = false;
+    bool announced_is_reader_ = false;
+    bool load_announcement_posted_ = false;
+    std::size_t logged_live_count_ = 1;
+    state::time_point live_count_logged_at_{};
     coordination::evidence_exchange evidence_;
-    state::time_point directory_fetch_at_{};
+    state::time_point next_directory_fetch_at_{};
     bool fetching_directory_ = false;
 };
 
--- /dev/null
+++ b/src/transport/fleet_exchange_sending.cpp
@@ -0,0 +1,329 @@
+#include "boot_clock.hpp"
+#include "fleet_exchange.hpp"
+
+#include <plumdale/protocol/fleet_codec.hpp>
+#include <plumdale/protocol/peer_codec.hpp>
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/post.hpp>
+
+#include <algorithm>
+#include <utility>
+
+// What this VM tells the others, and to whom; what it takes from them is in fleet_exchange.cpp.
+
+namespace plumdale::transport
+{
+namespace
+{
+
+using namespace coordination;
+using udp = net::ip::udp;
+using boost::system::error_code;
+
+// Of what is known, to one peer at a time: more would be a burst on its link.
+constexpr std::size_t max_sent_evidence = 4 * fleet_update::max_evidence;
+
+std::uint32_t age_in_ms(state::duration time)
+{
+    auto const age = std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(age, 0, UINT32_MAX));
+}
+
+// Rows of a message as many as fit into a datagram.
+template <class Row>
+std::vector<std::span<Row const>> split_rows(std::span<Row const> rows, std::size_t most)
+{
+    std::vector<std::span<Row const>> parts;
+    for (; !rows.empty(); rows = rows.subspan(parts.back().size()))
+    {
+        parts.push_back(rows.first(std::min(rows.size(), most)));
+    }
+    return parts;
+}
+
+} // namespace
+
+// -- telling --------------------------------------------------------------------------------------
+
+std::vector<broadcast_peer> fleet_exchange::broadcast_peers() const
+{
+    std::vector<broadcast_peer> peers;
+    for (state::member_entry const& entry : members_.table().entries())
+    {
+        if (entry.info.id != settings_.self.id && entry.info.health != state::member_health::dead)
+        {
+            peers.push_back({entry.info.id, entry.info.datagrams});
+        }
+    }
+    return peers;
+}
+
+std::vector<state::endpoint> fleet_exchange::recipients() const
+{
+    std::vector<state::endpoint> peers;
+    for (state::member_entry const& entry : members_.table().entries())
+    {
+        bool const listens =
+            entry.info.id != settings_.self.id && entry.info.health != state::member_health::dead;
+        if (listens)
+        {
+            peers.push_back(entry.info.datagrams);
+        }
+    }
+    for (state::endpoint const& seed : settings_.seeds)
+    {
+        if (std::find(peers.begin(), peers.end(), seed) == peers.end())
+        {
+            peers.push_back(seed);
+        }
+    }
+    return peers;
+}
+
+fleet_update fleet_exchange::make_update()
+{
+    auto const read = last_read_();
+    fleet_update update;
+    update.sender = settings_.self.id;
+    update.incarnation_number = settings_.self.incarnation_number;
+    update.configuration = core_.version();
+    update.directory = core_.directory.digest();
+    // A reader that lost the store says so, and another takes its place at once.
+    update.platform_age_ms = read ? age_in_ms(boot_now() - *read) : UINT32_MAX;
+    // Counted on from the start's own number, so that it grows across starts.
+    update.heartbeat =
+        core_.store_reads == 0 ? 0 : settings_.self.incarnation_number.value + core_.store_reads;
+    update.readers = core_.fleet.reader_heartbeats(boot_now());
+    update.quarantine = core_.quarantine.known().digest();
+    return update;
+}
+
+// Upstreams and orders together would not fit in a datagram.
+fleet_update fleet_exchange::make_update_with_orders()
+{
+    fleet_update update = make_update();
+    update.evacuations = core_.directory.evacuations().known();
+    return update;
+}
+
+// Rows beyond a datagram's bound go in further ones; only the first may clear what was told.
+void fleet_exchange::send_full_update()
+{
+    std::vector<state::endpoint> const peers = recipients();
+    std::vector<member_load> const rows = core_.ledger.own_generations();
+    std::size_t next = 0;
+    do
+    {
+        fleet_update update = next == 0 ? make_update_with_orders() : make_update();
+        std::size_t const count = std::min(rows.size() - next, fleet_update::max_loads);
+        auto const begin = rows.begin() + static_cast<std::ptrdiff_t>(next);
+        update.whole = next == 0;
+        update.loads.assign(begin, begin + static_cast<std::ptrdiff_t>(count));
+        next += count;
+        record_sent_status(update);
+        send(update, peers);
+    } while (next < rows.size());
+}
+
+void fleet_exchange::send_status()
+{
+    fleet_update update = make_update_with_orders();
+    record_sent_status(update);
+    send(update, recipients());
+}
+
+void fleet_exchange::record_sent_status(fleet_update const& update)
+{
+    announced_store_lost_ = update.platform_age_ms == UINT32_MAX;
+    announced_is_reader_ = core_.is_active_reader;
+}
+
+// From a reader's own link to hundreds, a burst of changes overflows it, and half of the fleet
+// misses the same datagrams. Passed on, each VM sends it to a few.
+void fleet_exchange::announce_members()
+{
+    std::vector<state::service_member> told = std::exchange(core_.unreported, {});
+    // Others' lists lagged by more or less than this one. Hundreds of VMs that each passed on a
+    // list of thousands filled all links; there the readers tell what changed since.
+    auto const of_start = std::exchange(core_.unreported_at_start, {});
+    if (broadcast_peers().size() <= max_direct_peers)
+    {
+        told.insert(told.end(), of_start.begin(), of_start.end());
+    }
+    for (auto const part : split_rows(std::span{std::as_const(told)}, fleet_update::max_members))
+    {
+        fleet_update update;
+        update.members.assign(part.begin(), part.end());
+        spread(update);
+    }
+}
+
+void fleet_exchange::broadcast_evacuations()
+{
+    fleet_update update;
+    spread(update);
+}
+
+void fleet_exchange::announce_evidence()
+{
+    std::vector<request_evidence> const told = core_.quarantine.known().unreported();
+    for (auto const part : split_rows(std::span{std::as_const(told)}, fleet_update::max_evidence))
+    {
+        fleet_update update;
+        update.evidence.assign(part.begin(), part.end());
+        spread(update);
+    }
+}
+
+void fleet_exchange::announce_limits()
+{
+    std::vector<state::stated_limit> const told = core_.limits.known().unreported(boot_now());
+    for (auto const part : split_rows(std::span{std::as_const(told)}, fleet_update::max_limits))
+    {
+        fleet_update update;
+        update.limits.assign(part.begin(), part.end());
+        spread(update);
+    }
+}
+
+// For those that missed what was told at once, or that were not there.
+void fleet_exchange::send_confirmed_limits()
+{
+    fleet_update update = make_update();
+    update.limits = core_.limits.known().confirmed(fleet_update::max_limits, boot_now());
+    if (!update.limits.empty())
+    {
+        send(update, recipients());
+    }
+}
+
+// One that has just started, was cut off or missed a datagram shows it by its digest.
+void fleet_exchange::exchange_evidence(fleet_update const& received, state::endpoint to)
+{
+    state::time_point const now = boot_now();
+    evidence_answer const answer =
+        evidence_.received({core_.quarantine.known().digest(), received.quarantine,
+                            received.requests_evidence, core_.fleet.peers().size(), core_.random()},
+                           now);
+    if (answer.should_request)
+    {
+        fleet_update question = make_update();
+        question.requests_evidence = true;
+        send(question, std::array{to});
+    }
+    std::vector<request_evidence> known;
+    if (answer.should_send)
+    {
+        known = core_.quarantine.known().evidence(max_sent_evidence, now);
+    }
+    for (auto const part : split_rows(std::span{std::as_const(known)}, fleet_update::max_evidence))
+    {
+        fleet_update update = make_update();
+        update.evidence.assign(part.begin(), part.end());
+        send(update, std::array{to});
+    }
+}
+
+void fleet_exchange::spread(fleet_update& update)
+{
+    bool const is_direct = broadcast_peers().size() <= max_direct_peers;
+    update.range.origin = settings_.self.id;
+    update.has_range = true;
+    for (std::size_t tree = 0; tree < (is_direct ? 1 : trees_per_message); ++tree)
+    {
+        update.spread = core_.random();
+        forward_update(update);
+    }
+}
+
+void fleet_exchange::forward_update(fleet_update const& from)
+{
+    if (!from.has_range)
+    {
+        return;
+    }
+    std::vector<broadcast_peer> const peers = broadcast_peers();
+    for (broadcast_target const& target :
+         targets_of(from.range, from.spread, peers, fan_out_for(peers.size())))
+    {
+        bool const has_rows =
+            !from.members.empty() || !from.evidence.empty() || !from.limits.empty();
+        fleet_update update = has_rows ? make_update() : make_update_with_orders();
+        update.members = from.members;
+        update.evidence = from.evidence;
+        update.limits = from.limits;
+        update.spread = from.spread;
+        update.range = target.subrange;
+        update.has_range = target.has_subrange;
+        send(update, std::array{target.to});
+    }
+}
+
+void fleet_exchange::announce_loads()
+{
+    std::vector<state::endpoint> const peers = recipients();
+    std::vector<state::member_key> const due = loads_.due(boot_now(), peers.size());
+    if (due.empty())
+    {
+        return;
+    }
+    fleet_update update = make_update();
+    for (state::member_key const member : due)
+    {
+        update.loads.push_back(core_.ledger.own(member));
+    }
+    send(update, peers);
+}
+
+void fleet_exchange::send(fleet_update& update, std::span<state::endpoint const> peers)
+{
+    update.sequence = ++sequence_;
+    std::string const datagram =
+        std::string(1, update_tag) + protocol::encode(update, settings_.fleet_key);
+    for (state::endpoint const& peer : peers)
+    {
+        send(datagram, peer);
+    }
+}
+
+void fleet_exchange::send(std::string datagram, state::endpoint to)
+{
+    core_.metrics.add(forward_count::news_sent);
+    core_.metrics.add(forward_count::news_bytes, datagram.size());
+    error_code ignored;
+    // A datagram that finds no room is lost like any other; whole news follow.
+    socket_.send_to(net::buffer(datagram), udp::endpoint{net::ip::address_v4{to.address}, to.port},
+                    0, ignored);
+}
+
+void fleet_exchange::carry_out(control_actions const& actions)
+{
+    for (control_action const& action : actions)
+    {
+        if (auto const* const message = std::get_if<send_datagram>(&action))
+        {
+            send(std::string(1, membership_tag) +
+                     protocol::encode(message->message, settings_.fleet_key),
+                 message->to);
+        }
+    }
+}
+
+void fleet_exchange::announce_load(state::member_key member)
+{
+    loads_.push(member);
+    if (std::exchange(load_announcement_posted_, true))
+    {
+        return;
+    }
+    // Behind the events at hand: what they change goes along.
+    net::post(core_.context,
+              [this]
+              {
+                  load_announcement_posted_ = false;
+                  announce_loads();
+              });
+}
+
+} // namespace plumdale::transport
--- a/src/transport/forward_call.cpp
+++ b/src/transport/forward_call.cpp
@@ -15,9 +15,9 @@
 using boost::system::error_code;
 using coordination::call_result;
 
-constexpr state::duration first_come_back = std::chrono::milliseconds{250};
+constexpr state::duration min_retry_after = std::chrono::milliseconds{250};
 // Callers that were refused together come back spread over this time.
-constexpr state::duration come_back_spread = std::chrono::milliseconds{500};
+constexpr state::duration retry_after_jitter = std::chrono::milliseconds{500};
 
 } // namespace
 
@@ -48,24 +48,25 @@
     state::time_point const now = boot_now();
     if (now >= admitted_.deadline)
     {
-        return time_over();
+        return on_timeout();
     }
     if (is_quarantined())
     {
         return refuse_quarantined();
     }
-    bool const looks_again = waits_ && admitted_.service->engine;
-    auto chosen = look_at(
-        looks_again ? waiting_candidates : coordination::choice_terms::drawn_candidates, now);
+    bool const looks_again = is_waiting_ && admitted_.service->engine;
+    auto chosen = select_upstream(looks_again ? waiting_candidates
+                                              : coordination::selection_options::sampled_candidates,
+                                  now);
     // Calls that wait look at the same moments; those that come, or are at the end of their wait,
     // do not, and hear of each other's starts in between.
     if (!chosen && (!looks_again || now >= wait_until_))
     {
-        chosen = look_at(coordination::choice_terms::thorough_candidates, now);
+        chosen = select_upstream(coordination::selection_options::thorough_candidates, now);
     }
     if (chosen)
     {
-        return open(*chosen);
+        return open_exchange(*chosen);
     }
     // An operator's order lasts for longer than a caller waits.
     if (core_.directory.is_wholly_evacuated(admitted_.service->name, now))
@@ -74,87 +75,89 @@
                                      : state::error_kind::no_upstream,
                       "all zones with upstreams are evacuated");
     }
-    wait_or_refuse(limit_ != coordination::admission_limit::none || looks_again, now);
+    wait_or_refuse(blocking_limit_ != coordination::admission_limit::none || looks_again, now);
 }
 
-std::optional<state::member_key> forward_call::look_at(std::size_t candidates,
-                                                       state::time_point now)
+std::optional<state::member_key> forward_call::select_upstream(std::size_t candidates,
+                                                               state::time_point now)
 {
-    coordination::choice_terms terms;
-    terms.near_zone = core_.choice.own_zone();
+    coordination::selection_options terms;
+    terms.preferred_zone = core_.selector.own_zone();
     terms.excluded = excluded_;
     terms.candidates = candidates;
-    auto const chosen = core_.choice.choose(*admitted_.service, admitted_.demand, terms, now);
+    auto const chosen = core_.selector.choose(*admitted_.service, admitted_.demand, terms, now);
     if (!chosen)
     {
         return std::nullopt;
     }
     best_ = *chosen;
-    limit_ = limit_for(*chosen, now);
-    return limit_ == coordination::admission_limit::none ? std::optional{chosen->member}
-                                                         : std::nullopt;
+    blocking_limit_ = limit_for(*chosen, now);
+    return blocking_limit_ == coordination::admission_limit::none ? std::optional{chosen->member}
+                                                                  : std::nullopt;
 }
 
-void forward_call::wait_or_refuse(bool crowded, state::time_point now)
+void forward_call::wait_or_refuse(bool at_capacity, state::time_point now)
 {
     if (now < wait_until_)
     {
-        if (!std::exchange(waits_, true))
+        if (!std::exchange(is_waiting_, true))
         {
-            log("waiting", crowded ? "all upstreams are crowded" : "no upstream");
+            log("waiting", at_capacity ? "all upstreams are crowded" : "no upstream");
         }
         excluded_.clear();
         std::uniform_int_distribution<std::int64_t> step{wait_step.count() / 2,
                                                          2 * wait_step.count()};
         retry_at_ = now + state::duration{step(core_.random)};
-        return arm();
+        return arm_timer();
     }
     if (may_have_run())
     {
         return refuse(state::error_kind::may_have_run, "no other upstream");
     }
-    crowded ? refuse(state::error_kind::overloaded, "all upstreams are crowded")
-            : refuse(state::error_kind::no_upstream, "no upstream");
+    at_capacity ? refuse(state::error_kind::overloaded, "all upstreams are crowded")
+                : refuse(state::error_kind::no_upstream, "no upstream");
 }
 
-coordination::admission_limit forward_call::limit_for(coordination::chosen_member const& /*best*/,
-                                                      state::time_point /*now*/) const
+coordination::admission_limit
+forward_call::limit_for(coordination::selected_upstream const& /*best*/,
+                        state::time_point /*now*/) const
 {
     return coordination::admission_limit::none;
 }
 
 state::duration forward_call::longest_wait() const
 {
-    return std::max<state::duration>(wait_step, admitted_.route->target_latency / wait_part);
+    return std::max<state::duration>(wait_step, admitted_.route->target_latency / wait_divisor);
 }
 
-void forward_call::open(state::member_key member)
+void forward_call::open_exchange(state::member_key member)
 {
     coordination::directory_entry const* const entry = core_.directory.find(member);
     member_ = member;
     std::uint32_t const at_end = admitted_.demand.prompt_tokens + admitted_.demand.output_tokens;
-    load_ = {member, 1, tokens_held(), std::max(tokens_held(), at_end), unread()};
+    load_ = {member, 1, tokens_held(), std::max(tokens_held(), at_end), pending_prefill_tokens()};
     core_.ledger.add(member, load_);
-    tell_load(member);
+    announce_load(member);
     has_head_ = false;
     ++tries_;
     upstream_exchange::options options;
     options.member = member;
     options.address = entry->info.address;
     options.without_body = admitted_.call.head.method == "HEAD";
-    options.longest_idle =
-        admitted_.route->kind == state::call_kind::idempotent ? idempotent_idle : doubtful_idle;
+    options.max_idle = admitted_.route->kind == state::call_kind::idempotent
+                           ? idempotent_max_idle
+                           : non_idempotent_max_idle;
     exchange_ = std::make_shared<upstream_exchange>(core_.context, core_.pool, options, *this);
     exchange_->start();
     if (!finished_)
     {
-        arm();
+        arm_timer();
     }
 }
 
-protocol::onward_terms forward_call::onward(state::time_point now) const
+protocol::system_headers forward_call::make_system_headers(state::time_point now) const
 {
-    protocol::onward_terms terms;
+    protocol::system_headers terms;
     terms.time_left = admitted_.deadline - now;
     terms.member = member_name();
     if (admitted_.customer != nullptr)
@@ -174,8 +177,8 @@
     {
         return false;
     }
-    return goes_on() ? core_.directory.may_take_work(*entry, now)
-                     : core_.choice.may_send(*entry, *admitted_.service, now);
+    return is_resumption() ? core_.directory.may_take_work(*entry, now)
+                           : core_.selector.may_send(*entry, *admitted_.service, now);
 }
 
 std::optional<std::string> forward_call::request()
@@ -187,21 +190,21 @@
     {
         return std::nullopt;
     }
-    is_cold_ = core_.choice.is_cold(*core_.directory.find(member_), *admitted_.service, now);
+    is_cold_ = core_.selector.is_cold(*core_.directory.find(member_), *admitted_.service, now);
     if (is_cold_)
     {
-        core_.cold.note_sent(member_, now);
+        core_.cold_limiter.note_sent(member_, now);
     }
     core_.limits.known().note_sent(member_, now);
-    send_at_ = now;
-    first_send_at_ = sends_ == 0 ? now : first_send_at_;
+    sent_at_ = now;
+    first_sent_at_ = sends_ == 0 ? now : first_sent_at_;
     ++sends_;
     core_.metrics.add(forward_count::sends);
     core_.metrics.add(exchange_->reused() ? forward_count::connections_reused
                                           : forward_count::connections_opened);
     log("sent", exchange_->reused() ? "on a kept connection" : "on a new connection");
-    std::string text =
-        core_.dialect.onward_head(admitted_.call.head, onward(now), admitted_.call.body.size());
+    std::string text = core_.dialect.forwarded_head(admitted_.call.head, make_system_headers(now),
+                                                    admitted_.call.body.size());
     text += admitted_.call.body;
     return text;
 }
@@ -217,7 +220,7 @@
         return may_have_run() ? refuse(state::error_kind::may_have_run, why)
                               : refuse(state::error_kind::overloaded, why);
     }
-    if (is_repeat && !core_.take_repeat(admitted_.service->name))
+    if (is_repeat && !core_.take_retry(admitted_.service->name))
     {
         return may_have_run() ? refuse(state::error_kind::may_have_run, "no repeat left")
                               : refuse(state::error_kind::overloaded, "no repeat left");
@@ -225,12 +228,12 @@
     dispatch();
 }
 
-void forward_call::ran_and_failed(std::string_view why)
+void forward_call::retry_or_refuse(std::string_view why)
 {
-    ++runs_;
+    ++possible_runs_;
     core_.health.note(member_, call_result::failed, boot_now());
     bool const may_repeat = admitted_.route->kind == state::call_kind::idempotent &&
-                            runs_ < admitted_.route->max_attempts;
+                            possible_runs_ < admitted_.route->max_attempts;
     if (may_repeat)
     {
         return redispatch(why);
@@ -253,7 +256,7 @@
     // A refusal says nothing of a limit that it doesn't state, and another start's answer nothing
     // at all.
     bool const is_statement = answer_.request_limit || !answer_.not_run;
-    if (is_statement && !answer_.misdirected && !has_other_answer())
+    if (is_statement && !answer_.misdirected && !has_mismatched_id())
     {
         core_.limits.answered(member_, answer_.request_limit);
     }
@@ -266,7 +269,7 @@
     exchange_ended(end);
 }
 
-bool forward_call::has_other_answer() const
+bool forward_call::has_mismatched_id() const
 {
     return has_head_ && !answer_.id.empty() && answer_.id != admitted_.terms.id;
 }
@@ -280,7 +283,7 @@
 void forward_call::note_evidence(exchange_end end)
 {
     request_attempt const attempt{admitted_.request, admitted_.terms.id};
-    bool const is_own_answer = has_head_ && !has_other_answer() && !is_refused_by_upstream(end);
+    bool const is_own_answer = has_head_ && !has_mismatched_id() && !is_refused_by_upstream(end);
     if (end == exchange_end::whole && is_own_answer)
     {
         return core_.quarantine.answered(attempt);
@@ -305,17 +308,17 @@
     {
         return redispatch("not sent after all");
     }
-    if (has_other_answer())
+    if (has_mismatched_id())
     {
         // The answer to an earlier call came late, on a connection that was thought to be idle.
         core_.metrics.add(forward_count::answers_discarded);
-        return ran_and_failed("answer to another call");
+        return retry_or_refuse("answer to another call");
     }
     if (is_refused_by_upstream(end))
     {
         if (answer_.misdirected)
         {
-            core_.member_replaced(member_);
+            core_.on_member_replaced(member_);
         }
         core_.health.note(member_, call_result::busy, boot_now());
         return redispatch(answer_.misdirected ? "another incarnation" : "refused by the upstream");
@@ -336,10 +339,10 @@
     return fields;
 }
 
-state::duration forward_call::come_back()
+state::duration forward_call::retry_after()
 {
-    std::uniform_int_distribution<std::int64_t> spread{0, come_back_spread.count()};
-    return first_come_back + state::duration{spread(core_.random)};
+    std::uniform_int_distribution<std::int64_t> spread{0, retry_after_jitter.count()};
+    return min_retry_after + state::duration{spread(core_.random)};
 }
 
 bool forward_call::is_quarantined() const
@@ -357,10 +360,10 @@
 
 void forward_call::refuse(state::error_kind kind, std::string_view why)
 {
-    refuse(kind, why, come_back());
+    refuse(kind, why, retry_after());
 }
 
-void forward_call::refuse(state::error_kind kind, std::string_view why, state::duration come_back)
+void forward_call::refuse(state::error_kind kind, std::string_view why, state::duration retry_after)
 {
     log("refused", why);
     core_.metrics.add(forward_count::refused);
@@ -368,7 +371,7 @@
                                                          : coordination::call_outcome::refused);
     auto const channel = channel_;
     finish();
-    channel->refuse(kind, come_back);
+    channel->refuse(kind, retry_after);
 }
 
 // -- ends -----------------------------------------------------------------------------------------
@@ -393,17 +396,17 @@
     if (load.calls != 0)
     {
         core_.ledger.remove(load.member, load);
-        tell_load(load.member);
+        announce_load(load.member);
         load = {};
     }
 }
 
 // A plain call ends before news of it would arrive, so only generations are told.
-void forward_call::tell_load(state::member_key member)
+void forward_call::announce_load(state::member_key member)
 {
     if (admitted_.service->engine)
     {
-        core_.load_changed(member);
+        core_.on_load_changed(member);
     }
 }
 
@@ -419,15 +422,15 @@
     close_exchange();
 }
 
-void forward_call::caller_left()
+void forward_call::on_caller_disconnected()
 {
     core_.metrics.add(forward_count::callers_left);
     log("caller left", {});
-    note_outcome(coordination::call_outcome::left);
+    note_outcome(coordination::call_outcome::caller_disconnected);
     finish();
 }
 
-void forward_call::caller_ready() {}
+void forward_call::on_caller_ready() {}
 
 // -- time -----------------------------------------------------------------------------------------
 
@@ -445,9 +448,9 @@
     }
 }
 
-void forward_call::arm()
+void forward_call::arm_timer()
 {
-    timer_.expires_after(until(std::min(admitted_.deadline, next_deadline())));
+    timer_.expires_after(time_until(std::min(admitted_.deadline, next_deadline())));
     timer_.async_wait(
         [weak = weak_from_this()](error_code error)
         {
@@ -464,12 +467,12 @@
     state::time_point const now = boot_now();
     if (now >= admitted_.deadline)
     {
-        return time_over();
+        return on_timeout();
     }
     on_timer(now);
     if (!finished_)
     {
-        arm();
+        arm_timer();
     }
 }
 
--- a/src/transport/forward_call.hpp
+++ b/src/transport/forward_call.hpp
@@ -23,8 +23,8 @@
 /// \brief What was decided of a call before it is sent anywhere.
 struct admitted_call
 {
-    whole_call call;
-    protocol::call_terms terms;
+    received_call call;
+    protocol::call_headers terms;
     /// \brief The configuration under which it was admitted.
     std::shared_ptr<coordination::routing_table const> table;
     state::route const* route = nullptr;
@@ -36,12 +36,12 @@
     /// \brief When its caller, or its route, gives it up.
     state::time_point deadline{};
     /// \brief It has less time than others of its route had from the start: it was refused before.
-    bool returns = false;
+    bool is_retry = false;
 };
 
 /// \brief Admits a call and starts it; refuses it through the channel and returns null otherwise.
 [[nodiscard]] std::shared_ptr<call_handler>
-start_call(forward_core& core, std::shared_ptr<caller_channel> const& channel, whole_call call);
+start_call(forward_core& core, std::shared_ptr<caller_channel> const& channel, received_call call);
 
 /// \brief Sends a call to one upstream after another as far as it may be repeated.
 ///
@@ -58,8 +58,8 @@
 
     void start();
 
-    void caller_left() override;
-    void caller_ready() override;
+    void on_caller_disconnected() override;
+    void on_caller_ready() override;
     std::optional<std::string> request() override;
     void on_head(protocol::message_head const& head, protocol::body_framing framing) override;
     void on_end(exchange_end end) final;
@@ -68,18 +68,18 @@
     static constexpr std::uint32_t try_limit = 6;
     /// \brief An idempotent call is sent to a second upstream when the first takes this many times
     /// the objective; a late answer earns less than a third.
-    static constexpr int slow_objectives = 3;
+    static constexpr int slow_answer_factor = 3;
     /// \brief Kept connections that were idle for longer are not used for calls that may not run
     /// twice: one that the upstream closes at that moment leaves in doubt whether it ran.
-    static constexpr state::duration doubtful_idle = std::chrono::milliseconds{400};
-    static constexpr state::duration idempotent_idle = std::chrono::seconds{10};
+    static constexpr state::duration non_idempotent_max_idle = std::chrono::milliseconds{400};
+    static constexpr state::duration idempotent_max_idle = std::chrono::seconds{10};
     /// \brief Upstreams that a waiting call looks at at a time. All that wait see what becomes free
     /// at the same moment; looking at the best of eight, four to seven of them met there within 50
     /// ms.
     static constexpr std::size_t waiting_candidates = 1;
     /// \brief Waiting for an upstream to appear, as a part of the objective: callers that are told
     /// at once come back in time.
-    static constexpr int wait_part = 8;
+    static constexpr int wait_divisor = 8;
     static constexpr state::duration wait_step = std::chrono::milliseconds{25};
     /// \brief A request that an upstream has run for longer isn't what ended it: one that does so
     /// does it as it is begun. Many others run there at that moment.
@@ -87,7 +87,7 @@
 
 protected:
     /// \brief What is passed on with the next send.
-    [[nodiscard]] virtual protocol::onward_terms onward(state::time_point now) const;
+    [[nodiscard]] virtual protocol::system_headers make_system_headers(state::time_point now) const;
     /// \brief The exchange ended, in whatever way.
     virtual void exchange_ended(exchange_end end);
     /// \brief Returns since when the upstream has been seen to run the call; none before.
@@ -98,18 +98,18 @@
     /// \brief The answer ended, and may be passed on or judged.
     virtual void answer_ended(exchange_end end) = 0;
     /// \brief The call's time is over.
-    virtual void time_over() = 0;
+    virtual void on_timeout() = 0;
     virtual void on_timer(state::time_point now);
     /// \brief Returns what keeps the call from the best upstream there is, if anything.
     [[nodiscard]] virtual coordination::admission_limit
-    limit_for(coordination::chosen_member const& best, state::time_point now) const;
+    limit_for(coordination::selected_upstream const& best, state::time_point now) const;
     /// \brief Returns how long a call may wait here until an upstream can take it.
     [[nodiscard]] virtual state::duration longest_wait() const;
     /// \brief Returns when `on_timer` is due besides the deadline.
     [[nodiscard]] virtual state::time_point next_deadline() const;
 
     /// \brief Returns whether what is sent goes on with what ran elsewhere.
-    [[nodiscard]] virtual bool goes_on() const
+    [[nodiscard]] virtual bool is_resumption() const
     {
         return false;
     }
@@ -121,21 +121,21 @@
     }
 
     /// \brief Returns the prompt tokens that its upstream has to read before the first event.
-    [[nodiscard]] virtual std::uint32_t unread() const
+    [[nodiscard]] virtual std::uint32_t pending_prefill_tokens() const
     {
         return admitted_.demand.prompt_tokens;
     }
 
     void dispatch();
     /// \brief Notes the best of about so many upstreams; returns it if the call may be sent there.
-    [[nodiscard]] std::optional<state::member_key> look_at(std::size_t candidates,
-                                                           state::time_point now);
+    [[nodiscard]] std::optional<state::member_key> select_upstream(std::size_t candidates,
+                                                                   state::time_point now);
     [[nodiscard]] bool may_send(state::time_point now) const;
-    void wait_or_refuse(bool crowded, state::time_point now);
-    void open(state::member_key member);
+    void wait_or_refuse(bool at_capacity, state::time_point now);
+    void open_exchange(state::member_key member);
     void redispatch(std::string_view why);
     /// \brief The upstream failed after it may have run the call.
-    void ran_and_failed(std::string_view why);
+    void retry_or_refuse(std::string_view why);
     void refuse(state::error_kind kind, std::string_view why);
     /// \brief Returns whether the request is refused wherever it is sent.
     [[nodiscard]] bool is_quarantined() const;
@@ -144,16 +144,16 @@
     void close_exchange();
     /// \brief Counts a load of this call out again, if it is counted in.
     void drop_load(coordination::member_load& load);
-    void tell_load(state::member_key member);
-    void arm();
+    void announce_load(state::member_key member);
+    void arm_timer();
     void note_outcome(coordination::call_outcome outcome);
     void log(std::string_view decision, std::string_view why);
     [[nodiscard]] bool may_have_run() const noexcept
     {
-        return runs_ > 0;
+        return possible_runs_ > 0;
     }
     /// \brief Returns when a caller that is refused now had best come back.
-    [[nodiscard]] virtual state::duration come_back();
+    [[nodiscard]] virtual state::duration retry_after();
     [[nodiscard]] std::vector<protocol::header_field> answer_fields() const;
     [[nodiscard]] std::string_view member_name() const;
     [[nodiscard]] std::string_view name_of(state::member_key member) const;
@@ -167,22 +167,22 @@
     coordination::member_load load_;
     std::vector<state::member_key> excluded_;
     protocol::message_head head_;
-    protocol::answer_terms answer_;
+    protocol::answer_headers answer_;
     protocol::body_framing framing_ = protocol::body_framing::none;
-    state::time_point send_at_{};
-    state::time_point first_send_at_{};
+    state::time_point sent_at_{};
+    state::time_point first_sent_at_{};
     /// \brief The best upstream of the last look that found any, whether the call went there or
     /// not.
-    coordination::chosen_member best_;
+    coordination::selected_upstream best_;
     /// \brief What kept the call from it.
-    coordination::admission_limit limit_ = coordination::admission_limit::none;
+    coordination::admission_limit blocking_limit_ = coordination::admission_limit::none;
     state::time_point wait_until_{};
     state::time_point retry_at_ = state::never;
     std::uint32_t tries_ = 0;
     std::uint32_t sends_ = 0;
     /// \brief Sends that may have run.
-    std::uint32_t runs_ = 0;
-    bool waits_ = false;
+    std::uint32_t possible_runs_ = 0;
+    bool is_waiting_ = false;
     /// \brief The upstream was taken for cold when the call was sent.
     bool is_cold_ = false;
     bool has_head_ = false;
@@ -190,11 +190,11 @@
 
 private:
     void on_deadline_timer();
-    void refuse(state::error_kind kind, std::string_view why, state::duration come_back);
+    void refuse(state::error_kind kind, std::string_view why, state::duration retry_after);
     void refuse_quarantined();
     /// \brief Notes what the end of the exchange says of the request itself.
     void note_evidence(exchange_end end);
-    [[nodiscard]] bool has_other_answer() const;
+    [[nodiscard]] bool has_mismatched_id() const;
     [[nodiscard]] bool is_refused_by_upstream(exchange_end end) const;
 };
 
--- a/src/transport/forward_core.cpp
+++ b/src/transport/forward_core.cpp
@@ -22,10 +22,10 @@
 
 // One that has just started hears within this time who reads the store; the seeds, whom all others
 // ask first, are the first to volunteer.
-constexpr state::duration seed_patience = std::chrono::milliseconds{500};
-constexpr state::duration start_patience = std::chrono::milliseconds{1'500};
+constexpr state::duration seed_eligibility_delay = std::chrono::milliseconds{500};
+constexpr state::duration start_eligibility_delay = std::chrono::milliseconds{1'500};
 
-bool names_itself(protocol::forward_settings const& settings)
+bool is_listed_as_seed(protocol::forward_settings const& settings)
 {
     return std::find(settings.seeds.begin(), settings.seeds.end(), settings.datagrams) !=
            settings.seeds.end();
@@ -39,31 +39,32 @@
 
 } // namespace
 
-forward_core::forward_core(net::io_context& loop, protocol::forward_settings const& chosen,
-                           protocol::dialect const& words, decision_log& lines)
-    : context{loop}, settings{chosen}, dialect{words}, log{lines},
-      self{state::named<state::node_id>(protocol::to_text(chosen.datagrams))}, is_seed{names_itself(
-                                                                                   chosen)},
-      random{random_seed()}, fleet{self, boot_now() + (is_seed ? seed_patience : start_patience)},
-      cold{fleet, self, boot_now()}, limits{fleet, self, directory, lines},
-      choice{directory, ledger, health, cold, limits.known(), settings.zone, random},
-      quarantine{lines, metrics}, orders{loop}, departures{loop,
-                                                           words,
-                                                           directory,
-                                                           ledger,
-                                                           lines,
-                                                           [this](state::member_key member,
-                                                                  state::incarnation started)
-                                                           {
-                                                               note_start(member, started);
-                                                           }},
-      changes_{lines}
+forward_core::forward_core(net::io_context& loop,
+                           protocol::forward_settings const& process_settings,
+                           protocol::dialect const& platform_dialect, decision_log& logger)
+    : context{loop}, settings{process_settings}, dialect{platform_dialect}, log{logger},
+      self{state::id_from_name<state::node_id>(protocol::to_text(process_settings.datagrams))},
+      is_seed{is_listed_as_seed(process_settings)}, random{random_seed()},
+      fleet{self, boot_now() + (is_seed ? seed_eligibility_delay : start_eligibility_delay)},
+      cold_limiter{fleet, self, boot_now()}, limits{fleet, self, directory, logger},
+      selector{directory, ledger, health, cold_limiter, limits.known(), settings.zone, random},
+      quarantine{logger, metrics}, order_fetcher{loop},
+      departures{loop,
+                 platform_dialect,
+                 directory,
+                 ledger,
+                 logger,
+                 [this](state::member_key member, state::incarnation started)
+                 {
+                     apply_reported_start(member, started);
+                 }},
+      change_log_{logger}
 {
 }
 
 // -- configuration --------------------------------------------------------------------------------
 
-bool forward_core::take_configuration(std::string text, std::string_view source)
+bool forward_core::apply_configuration(std::string text, std::string_view source)
 {
     auto decoded = dialect.decode_configuration(text);
     if (!decoded)
@@ -92,27 +93,27 @@
 
 // -- upstreams ------------------------------------------------------------------------------------
 
-void forward_core::take_member(state::service_member const& member, std::string_view source)
+void forward_core::apply_member(state::service_member const& member, std::string_view source)
 {
     state::time_point const now = boot_now();
     auto const former = directory.latest(member.name);
-    directory_change const change = directory.join(member, now);
+    directory_change const change = directory.merge(member, now);
     auto const latest = directory.latest(member.name);
     if (former && latest && *former != *latest)
     {
-        member_restarted(*former, *latest, source);
+        on_member_restarted(*former, *latest, source);
     }
     if (change == directory_change::none || !latest)
     {
         return;
     }
     coordination::directory_entry const* const entry = directory.find(*latest);
-    changes_.add(change, entry->info, source);
-    untold.push_back(entry->info);
+    change_log_.add(change, entry->info, source);
+    unreported.push_back(entry->info);
     fleet.directory_changed(directory.digest(), now);
     if (change == directory_change::removed || change == directory_change::leaving)
     {
-        if (departures.departs(*latest))
+        if (departures.record_departure(*latest))
         {
             pool.drop(*latest);
         }
@@ -121,8 +122,8 @@
 
 // Its calls and memory went with the former start, whatever its connections say: those of a VM that
 // lost power stay silent for as long as a caller waits.
-void forward_core::member_restarted(state::member_key former, state::member_key latest,
-                                    std::string_view source)
+void forward_core::on_member_restarted(state::member_key former, state::member_key latest,
+                                       std::string_view source)
 {
     coordination::directory_entry const* const entry = directory.find(former);
     bool const was_told = entry != nullptr && entry->info.started.value != 0;
@@ -136,11 +137,11 @@
     health.forget(former);
     if (was_told)
     {
-        departures.lost(former);
+        departures.notify_restart(former);
     }
 }
 
-void forward_core::note_start(state::member_key member, state::incarnation started)
+void forward_core::apply_reported_start(state::member_key member, state::incarnation started)
 {
     coordination::directory_entry const* const entry = directory.find(member);
     if (entry == nullptr)
@@ -151,11 +152,11 @@
     later.started = started;
     later.leaving = false;
     later.listed = true;
-    take_member(later, "report");
+    apply_member(later, "report");
 }
 
-void forward_core::take_unusable(std::span<protocol::unusable_entry const> entries,
-                                 std::string_view source)
+void forward_core::apply_unusable_entries(std::span<protocol::unusable_entry const> entries,
+                                          std::string_view source)
 {
     for (protocol::unusable_entry const& each : entries)
     {
@@ -170,26 +171,26 @@
             member.name = each.name;
             member.revision = each.revision;
             member.usable = false;
-            take_member(member, source);
+            apply_member(member, source);
         }
     }
 }
 
-void forward_core::take_members(std::span<state::service_member const> members,
-                                std::string_view source)
+void forward_core::apply_members(std::span<state::service_member const> members,
+                                 std::string_view source)
 {
     for (state::service_member const& member : members)
     {
-        take_member(member, source);
+        apply_member(member, source);
     }
 }
 
-void forward_core::take_list(std::span<state::service_member const> members,
-                             std::span<protocol::unusable_entry const> unusable,
-                             std::uint64_t revision, std::string_view source)
+void forward_core::apply_list(std::span<state::service_member const> members,
+                              std::span<protocol::unusable_entry const> unusable,
+                              std::uint64_t revision, std::string_view source)
 {
-    take_members(members, source);
-    take_unusable(unusable, source);
+    apply_members(members, source);
+    apply_unusable_entries(unusable, source);
     // By name: a list that lags may still have the former start of one that is there.
     std::unordered_set<std::string_view> listed;
     for (state::service_member const& member : members)
@@ -212,13 +213,13 @@
             missing.back().revision = revision;
         }
     }
-    take_members(missing, source);
+    apply_members(missing, source);
     list_revision = std::max(list_revision, revision);
     has_list = true;
-    directory.completed();
+    directory.mark_complete();
 }
 
-void forward_core::member_replaced(state::member_key member)
+void forward_core::on_member_replaced(state::member_key member)
 {
     directory.replaced(member, boot_now());
     pool.drop(member);
@@ -226,14 +227,14 @@
     log.write(part, "upstream replaced", {}, {{"member", static_cast<std::int64_t>(member.value)}});
 }
 
-void forward_core::tell_changes(state::time_point now)
+void forward_core::flush_change_log(state::time_point now)
 {
-    changes_.flush(directory.digest(), now);
+    change_log_.flush(directory.digest(), now);
 }
 
 state::duration forward_core::platform_age(state::time_point now) const
 {
-    return now - std::max(platform_read, fleet.platform_read(now));
+    return now - std::max(last_platform_read, fleet.last_platform_read(now));
 }
 
 // -- evacuations ----------------------------------------------------------------------------------
@@ -243,7 +244,7 @@
 {
     for (auto const& [key, entry] : directory.entries())
     {
-        if (state::named<state::zone_id>(entry.info.zone) == zone)
+        if (state::id_from_name<state::zone_id>(entry.info.zone) == zone)
         {
             return entry.info.zone;
         }
@@ -251,64 +252,65 @@
     return std::to_string(zone.value);
 }
 
-void forward_core::note_evacuations(std::span<state::evacuation_change const> changes,
-                                    std::string_view source)
+void forward_core::report_evacuations(std::span<state::evacuation_change const> changes,
+                                      std::string_view source)
 {
     for (state::evacuation_change const& each : changes)
     {
-        log.write("evacuation", each.taken_back ? "taken back" : "in force", {},
+        log.write("evacuation", each.revoked ? "taken back" : "in force", {},
                   {{"zone", name_of(each.order.zone)},
                    {"revision", static_cast<std::int64_t>(state::revision_in(each.order.revision))},
                    {"as_of", static_cast<std::int64_t>(
                                  state::revision_in(directory.evacuations().known().as_of))},
                    {"platform_age_ms", whole_milliseconds(platform_age(boot_now()))},
                    {"source", source}});
-        if (!each.taken_back)
+        if (!each.revoked)
         {
-            departures.evacuated(each.order.zone);
+            departures.notify_evacuation(each.order.zone);
         }
     }
 }
 
-void forward_core::take_evacuations(state::evacuations const& heard, std::string_view source)
+void forward_core::apply_evacuations(state::evacuations const& received, std::string_view source)
 {
-    note_evacuations(directory.evacuations().take(heard, boot_now()), source);
+    report_evacuations(directory.evacuations().take(received, boot_now()), source);
 }
 
-void forward_core::follow_evacuations(std::span<protocol::zone_order const> told,
-                                      std::uint64_t as_of, std::string_view source)
+void forward_core::apply_evacuation_changes(
+    std::span<protocol::evacuation_order const> received_orders, std::uint64_t as_of,
+    std::string_view source)
 {
     std::vector<state::evacuation_change> changes;
-    for (protocol::zone_order const& each : told)
+    for (protocol::evacuation_order const& each : received_orders)
     {
         changes.push_back(each.change);
     }
-    note_evacuations(directory.evacuations().follow(changes, as_of, boot_now()), source);
+    report_evacuations(directory.evacuations().apply_changes(changes, as_of, boot_now()), source);
 }
 
 // -- calls ----------------------------------------------------------------------------------------
 
-bool forward_core::comes_back(std::string const& route, state::duration time_left)
+bool forward_core::detect_retry(std::string const& route, state::duration time_left)
 {
-    return patience_[route].note(time_left);
+    return retry_detectors_[route].detect(time_left);
 }
 
 // -- repeats --------------------------------------------------------------------------------------
 
-coordination::repeat_allowance& forward_core::allowance_of(std::string const& service)
+coordination::fleet_retry_budget& forward_core::retry_budget_of(std::string const& service)
 {
-    return allowances_.try_emplace(service, settings.repeats).first->second;
+    return retry_budgets_.try_emplace(service, settings.repeats).first->second;
 }
 
 void forward_core::note_call(std::string const& service)
 {
-    allowance_of(service).note_call(boot_now());
+    retry_budget_of(service).note_call(boot_now());
 }
 
-bool forward_core::take_repeat(std::string const& service)
+bool forward_core::take_retry(std::string const& service)
 {
     // Others may be cut off from this VM and spend their shares all the same.
-    bool const granted = allowance_of(service).take(boot_now(), fleet.most_live());
+    bool const granted = retry_budget_of(service).take(boot_now(), fleet.peak_live());
     metrics.add(granted ? forward_count::repeats : forward_count::repeats_denied);
     return granted;
 }
--- a/src/transport/forward_core.hpp
+++ b/src/transport/forward_core.hpp
@@ -1,26 +1,26 @@
 #pragma once
 
-#include "change_lines.hpp"
 #include "decision_log.hpp"
-#include "departure_board.hpp"
+#include "departure_tracker.hpp"
+#include "directory_change_log.hpp"
 #include "forward_metrics.hpp"
 #include "http_fetch.hpp"
-#include "limit_board.hpp"
+#include "limit_tracker.hpp"
 #include "net.hpp"
-#include "quarantine_board.hpp"
+#include "quarantine_tracker.hpp"
 #include "upstream_pool.hpp"
 
-#include <plumdale/coordination/cold_share.hpp>
+#include <plumdale/coordination/cold_upstream_limiter.hpp>
+#include <plumdale/coordination/fleet_retry_budget.hpp>
 #include <plumdale/coordination/fleet_view.hpp>
 #include <plumdale/coordination/load_ledger.hpp>
-#include <plumdale/coordination/load_news.hpp>
-#include <plumdale/coordination/member_choice.hpp>
-#include <plumdale/coordination/member_health.hpp>
-#include <plumdale/coordination/repeat_allowance.hpp>
+#include <plumdale/coordination/load_update_queue.hpp>
+#include <plumdale/coordination/outlier_detector.hpp>
+#include <plumdale/coordination/retry_detector.hpp>
 #include <plumdale/coordination/route_outcomes.hpp>
 #include <plumdale/coordination/routing_table.hpp>
 #include <plumdale/coordination/service_directory.hpp>
-#include <plumdale/coordination/usual_patience.hpp>
+#include <plumdale/coordination/upstream_selector.hpp>
 #include <plumdale/protocol/dialect.hpp>
 #include <plumdale/protocol/forward_settings.hpp>
 
@@ -42,39 +42,40 @@
 class forward_core
 {
 public:
-    forward_core(net::io_context& loop, protocol::forward_settings const& chosen,
-                 protocol::dialect const& words, decision_log& lines);
+    forward_core(net::io_context& loop, protocol::forward_settings const& process_settings,
+                 protocol::dialect const& platform_dialect, decision_log& logger);
     forward_core(forward_core const&) = delete;
     forward_core& operator=(forward_core const&) = delete;
     ~forward_core() = default;
 
     // -- what this VM knows ------------------------------------------------------------
     /// \brief Takes a configuration as published; returns whether it is newer than the one known.
-    bool take_configuration(std::string text, std::string_view source);
+    bool apply_configuration(std::string text, std::string_view source);
     /// \brief Returns the version in force here; zero before there is one.
     [[nodiscard]] std::uint64_t version() const noexcept
     {
         return routing == nullptr ? 0 : routing->configuration().version;
     }
     /// \brief Joins news of upstreams; passes on what changed to peers.
-    void take_members(std::span<state::service_member const> members, std::string_view source);
+    void apply_members(std::span<state::service_member const> members, std::string_view source);
     /// \brief Takes entries that can't be believed: their upstreams get no new work.
-    void take_unusable(std::span<protocol::unusable_entry const> entries, std::string_view source);
+    void apply_unusable_entries(std::span<protocol::unusable_entry const> entries,
+                                std::string_view source);
     /// \brief Takes a whole list as of `revision`: what it lacks is gone.
-    void take_list(std::span<state::service_member const> members,
-                   std::span<protocol::unusable_entry const> unusable, std::uint64_t revision,
-                   std::string_view source);
+    void apply_list(std::span<state::service_member const> members,
+                    std::span<protocol::unusable_entry const> unusable, std::uint64_t revision,
+                    std::string_view source);
     /// \brief Takes the whole set of orders of evacuation as of a revision.
-    void take_evacuations(state::evacuations const& heard, std::string_view source);
+    void apply_evacuations(state::evacuations const& received, std::string_view source);
     /// \brief Takes what the watched store tells of orders up to revision `as_of`.
-    void follow_evacuations(std::span<protocol::zone_order const> told, std::uint64_t as_of,
-                            std::string_view source);
+    void apply_evacuation_changes(std::span<protocol::evacuation_order const> received_orders,
+                                  std::uint64_t as_of, std::string_view source);
     /// \brief Another incarnation answered at this one's address.
-    void member_replaced(state::member_key member);
+    void on_member_replaced(state::member_key member);
     /// \brief Writes the lines of changes that are due.
-    void tell_changes(state::time_point now);
+    void flush_change_log(state::time_point now);
     /// \brief Returns whether calls can be decided: a configuration and a list of upstreams.
-    [[nodiscard]] bool informed() const noexcept
+    [[nodiscard]] bool can_route() const noexcept
     {
         return routing != nullptr && has_list;
     }
@@ -86,9 +87,9 @@
 
     /// \brief Notes how long a caller of a route waits; returns whether that is so much less than
     /// others waited from the start that this one was refused before.
-    [[nodiscard]] bool comes_back(std::string const& route, state::duration time_left);
+    [[nodiscard]] bool detect_retry(std::string const& route, state::duration time_left);
     /// \brief Spends one of the repeats of a service; false when none is left.
-    [[nodiscard]] bool take_repeat(std::string const& service);
+    [[nodiscard]] bool take_retry(std::string const& service);
     void note_call(std::string const& service);
 
     net::io_context& context;
@@ -104,16 +105,16 @@
     std::minstd_rand random;
     coordination::service_directory directory;
     coordination::load_ledger ledger;
-    coordination::member_health health;
+    coordination::outlier_detector health;
     coordination::fleet_view fleet;
-    coordination::cold_share cold;
-    limit_board limits;
-    coordination::member_choice choice;
-    quarantine_board quarantine;
+    coordination::cold_upstream_limiter cold_limiter;
+    limit_tracker limits;
+    coordination::upstream_selector selector;
+    quarantine_tracker quarantine;
     upstream_pool pool;
     /// \brief Orders to upstreams, each on a connection of its own.
-    fetcher orders;
-    departure_board departures;
+    fetcher order_fetcher;
+    departure_tracker departures;
     std::shared_ptr<coordination::routing_table const> routing;
     /// \brief The configuration as published, for peers that ask.
     std::string configuration_text;
@@ -124,41 +125,41 @@
     std::uint64_t list_revision = 0;
     bool has_list = false;
     /// \brief When this VM last read the platform's store itself.
-    state::time_point platform_read{};
+    state::time_point last_platform_read{};
     /// \brief Reads of the store's current state by this process.
     std::uint64_t store_reads = 0;
     /// \brief This VM is a reader, and has read.
-    bool reads_store = false;
+    bool is_active_reader = false;
     /// \brief When SIGTERM came; `never` before.
     state::time_point closing_since = state::never;
     /// \brief Upstreams that peers are to be told of.
-    std::vector<state::service_member> untold;
+    std::vector<state::service_member> unreported;
     /// \brief Those of the list that was read at the start: all others read one too.
-    std::vector<state::service_member> untold_of_start;
+    std::vector<state::service_member> unreported_at_start;
     std::uint32_t calls_in_progress = 0;
     /// \brief Called when a generation began at an upstream, had its first event or ended there:
     /// peers choose by that.
-    std::function<void(state::member_key)> load_changed = [](state::member_key /*member*/) {
+    std::function<void(state::member_key)> on_load_changed = [](state::member_key /*member*/) {
     };
     /// \brief Called when this VM read a newer configuration as a reader of the store.
-    std::function<void()> configuration_read = [] {
+    std::function<void()> on_configuration_read = [] {
     };
     /// \brief Called when this VM read of an order of evacuation, given or taken back.
-    std::function<void()> evacuations_read = [] {
+    std::function<void()> on_evacuations_read = [] {
     };
 
 private:
-    void take_member(state::service_member const& member, std::string_view source);
-    void member_restarted(state::member_key former, state::member_key latest,
-                          std::string_view source);
-    void note_start(state::member_key member, state::incarnation started);
-    void note_evacuations(std::span<state::evacuation_change const> changes,
-                          std::string_view source);
-    coordination::repeat_allowance& allowance_of(std::string const& service);
+    void apply_member(state::service_member const& member, std::string_view source);
+    void on_member_restarted(state::member_key former, state::member_key latest,
+                             std::string_view source);
+    void apply_reported_start(state::member_key member, state::incarnation started);
+    void report_evacuations(std::span<state::evacuation_change const> changes,
+                            std::string_view source);
+    coordination::fleet_retry_budget& retry_budget_of(std::string const& service);
 
-    change_lines changes_;
-    std::unordered_map<std::string, coordination::repeat_allowance> allowances_;
-    std::unordered_map<std::string, coordination::usual_patience> patience_;
+    directory_change_log change_log_;
+    std::unordered_map<std::string, coordination::fleet_retry_budget> retry_budgets_;
+    std::unordered_map<std::string, coordination::retry_detector> retry_detectors_;
 };
 
 } // namespace plumdale::transport
--- a/src/transport/forward_metrics.cpp
+++ b/src/transport/forward_metrics.cpp
@@ -81,7 +81,7 @@
     answer_times_.add(time);
 }
 
-void forward_metrics::moved(state::duration pause)
+void forward_metrics::record_move_pause(state::duration pause)
 {
     move_pauses_.add(pause);
 }
--- a/src/transport/forward_metrics.hpp
+++ b/src/transport/forward_metrics.hpp
@@ -64,7 +64,7 @@
     /// \brief Time from a call's head to its answer's end, or to a stream's first event.
     void answered(state::duration time);
     /// \brief Pause of a stream between two upstreams.
-    void moved(state::duration pause);
+    void record_move_pause(state::duration pause);
     /// \brief Returns the page in Prometheus's text format.
     [[nodiscard]] std::string text(std::uint64_t lines_dropped) const;
 
--- a/src/transport/forwarder.cpp
+++ b/src/transport/forwarder.cpp
@@ -32,9 +32,9 @@
 
 constexpr std::string_view part = "process";
 // Idle connections, lost news and the like are looked at this often.
-constexpr std::chrono::milliseconds chores_interval{50};
+constexpr std::chrono::milliseconds maintenance_interval{50};
 // The balancer asks once a second and turns away after two misses.
-constexpr state::duration balancer_notices = std::chrono::milliseconds{2'800};
+constexpr state::duration balancer_detection_time = std::chrono::milliseconds{2'800};
 // The platform ends the process at the end of the grace; the last answers need a moment to leave.
 constexpr state::duration grace_margin = std::chrono::milliseconds{150};
 // A timer that is this late means that the process did not run.
@@ -48,11 +48,12 @@
 class forwarder::implementation
 {
 public:
-    implementation(protocol::forward_settings settings, protocol::dialect const& words,
+    implementation(protocol::forward_settings settings, protocol::dialect const& platform_dialect,
                    settings_source reread)
         : settings_{std::move(settings)}, log_{STDOUT_FILENO, settings_.name},
-          core_{context_, settings_, words, log_}, store_{core_}, reread_{std::move(reread)},
-          signals_{context_, SIGTERM, SIGINT, SIGHUP}, chores_{context_}
+          core_{context_, settings_, platform_dialect, log_}, store_{core_}, reread_{std::move(
+                                                                                 reread)},
+          signals_{context_, SIGTERM, SIGINT, SIGHUP}, maintenance_timer_{context_}
     {
     }
 
@@ -68,27 +69,30 @@
         datagrams.non_blocking(true);
         fleet_.emplace(
             core_, std::move(datagrams), settings_.streams,
-            [this] { return store_.is_lost() ? std::nullopt : std::optional{store_.last_read()}; },
-            [this](std::function<void()> otherwise) { store_.read_once(std::move(otherwise)); });
-        core_.configuration_read = [this]
+            [this] {
+                return store_.last_call_failed() ? std::nullopt : std::optional{store_.last_read()};
+            },
+            [this](std::function<void()> on_not_newer)
+            { store_.read_once(std::move(on_not_newer)); });
+        core_.on_configuration_read = [this]
         {
-            fleet_->spread_configuration();
+            fleet_->broadcast_configuration();
         };
-        core_.evacuations_read = [this]
+        core_.on_evacuations_read = [this]
         {
-            fleet_->spread_evacuations();
+            fleet_->broadcast_evacuations();
         };
-        core_.quarantine.changed = [this]
+        core_.quarantine.on_changed = [this]
         {
-            fleet_->tell_evidence();
+            fleet_->announce_evidence();
         };
-        core_.limits.changed = [this]
+        core_.limits.on_changed = [this]
         {
-            fleet_->tell_limits();
+            fleet_->announce_limits();
         };
-        core_.load_changed = [this](state::member_key member)
+        core_.on_load_changed = [this](state::member_key member)
         {
-            fleet_->tell_load(member);
+            fleet_->announce_load(member);
         };
         return boost::outcome_v2::success();
     }
@@ -99,18 +103,18 @@
                    {{"callers", protocol::to_text(settings_.callers)},
                     {"platform", protocol::to_text(settings_.platform)},
                     {"zone", settings_.zone}});
-        accept(callers_, [this](std::shared_ptr<caller_channel> const& channel, whole_call call)
+        accept(callers_, [this](std::shared_ptr<caller_channel> const& channel, received_call call)
                { return start_call(core_, channel, std::move(call)); });
         accept(ready_,
-               [this](std::shared_ptr<caller_channel> const& channel, whole_call const& call)
+               [this](std::shared_ptr<caller_channel> const& channel, received_call const& call)
                { return answer_operations(*channel, call); });
         accept(streams_, [this](std::shared_ptr<caller_channel> const& channel,
-                                whole_call const& call) { return answer_peer(*channel, call); });
+                                received_call const& call) { return answer_peer(*channel, call); });
         wait_for_signal();
         store_.start();
         fleet_->start();
-        last_chores_ = boot_now();
-        do_chores();
+        last_maintenance_ = boot_now();
+        run_maintenance();
         context_.run();
         std::uint32_t const cut = core_.calls_in_progress;
         log_.write(part, "stopped", {}, {{"calls_cut", cut}});
@@ -122,7 +126,7 @@
 private:
     // -- connections ------------------------------------------------------------
 
-    void accept(tcp::acceptor& acceptor, call_starter start)
+    void accept(tcp::acceptor& acceptor, call_handler_factory start)
     {
         acceptor.async_accept(
             [this, &acceptor, start = std::move(start)](error_code error, tcp::socket socket)
@@ -143,24 +147,24 @@
             });
     }
 
-    void open_channel(tcp::socket socket, call_starter const& start)
+    void open_channel(tcp::socket socket, call_handler_factory const& start)
     {
         auto const channel = std::make_shared<caller_channel>(
-            std::move(socket), [this] { return terms(); }, start,
+            std::move(socket), [this] { return options(); }, start,
             [this](caller_channel& closed) { channels_.erase(&closed); });
         channels_.insert(channel.get());
         channel->start();
     }
 
-    [[nodiscard]] channel_terms terms() const
+    [[nodiscard]] channel_options options() const
     {
-        channel_terms terms;
+        channel_options options;
         if (core_.routing != nullptr)
         {
-            terms.limits = core_.routing->configuration().limits;
+            options.limits = core_.routing->configuration().limits;
         }
-        terms.closing = core_.closing_since != state::never;
-        return terms;
+        options.closing = core_.closing_since != state::never;
+        return options;
     }
 
     // Calls use the core when they end, so they end before it does.
@@ -184,10 +188,11 @@
 
     [[nodiscard]] bool is_ready() const
     {
-        return core_.informed() && core_.closing_since == state::never;
+        return core_.can_route() && core_.closing_since == state::never;
     }
 
-    std::shared_ptr<call_handler> answer_operations(caller_channel& channel, whole_call const& call)
+    std::shared_ptr<call_handler> answer_operations(caller_channel& channel,
+                                                    received_call const& call)
     {
         if (call.head.target == core_.dialect.ready_target())
         {
@@ -215,9 +220,9 @@
     {
         coordination::directory_copy copy;
         copy.evacuations = core_.directory.evacuations().known();
-        if (auto const parts = protocol::decode_part_digests(asked))
+        if (auto const parts = protocol::decode_bucket_digests(asked))
         {
-            copy.members = core_.directory.rows_beside(parts.value());
+            copy.members = core_.directory.rows_differing_from(parts.value());
             return copy;
         }
         copy.revision = core_.list_revision;
@@ -228,7 +233,7 @@
         return copy;
     }
 
-    std::shared_ptr<call_handler> answer_peer(caller_channel& channel, whole_call const& call)
+    std::shared_ptr<call_handler> answer_peer(caller_channel& channel, received_call const& call)
     {
         if (call.head.target.starts_with(configuration_exchange::target) && core_.version() != 0)
         {
@@ -247,41 +252,42 @@
 
     // -- time and signals ------------------------------------------------------------
 
-    void do_chores()
+    void run_maintenance()
     {
         state::time_point const now = boot_now();
-        if (now - last_chores_ > pause_tolerance)
+        if (now - last_maintenance_ > pause_tolerance)
         {
             core_.metrics.add(forward_count::pauses);
-            log_.write(part, "did not run", {}, {{"ms", whole_milliseconds(now - last_chores_)}});
+            log_.write(part, "did not run", {},
+                       {{"ms", whole_milliseconds(now - last_maintenance_)}});
         }
-        last_chores_ = now;
+        last_maintenance_ = now;
         fleet_->advance();
-        core_.tell_changes(now);
+        core_.flush_change_log(now);
         core_.pool.sweep(now);
         core_.directory.forget(now);
-        core_.cold.forget(now);
+        core_.cold_limiter.forget(now);
         core_.quarantine.sweep();
         core_.limits.sweep();
         core_.departures.sweep();
-        note_readiness();
+        log_readiness_change();
         log_.flush();
         if (core_.closing_since != state::never && may_stop(now))
         {
             return context_.stop();
         }
-        chores_.expires_after(chores_interval);
-        chores_.async_wait(
+        maintenance_timer_.expires_after(maintenance_interval);
+        maintenance_timer_.async_wait(
             [this](error_code error)
             {
                 if (!error)
                 {
-                    do_chores();
+                    run_maintenance();
                 }
             });
     }
 
-    void note_readiness()
+    void log_readiness_change()
     {
         bool const ready = is_ready();
         if (ready != was_ready_)
@@ -294,7 +300,7 @@
     [[nodiscard]] bool may_stop(state::time_point now) const
     {
         state::duration const closing = now - core_.closing_since;
-        bool const idle = core_.calls_in_progress == 0 && closing >= balancer_notices;
+        bool const idle = core_.calls_in_progress == 0 && closing >= balancer_detection_time;
         return idle || closing >= settings_.grace - grace_margin;
     }
 
@@ -307,12 +313,12 @@
                 {
                     return;
                 }
-                signal == SIGHUP ? reload() : close();
+                signal == SIGHUP ? reload() : begin_shutdown();
                 wait_for_signal();
             });
     }
 
-    void close()
+    void begin_shutdown()
     {
         if (core_.closing_since != state::never)
         {
@@ -346,19 +352,19 @@
     std::optional<fleet_exchange> fleet_;
     settings_source reread_;
     net::signal_set signals_;
-    net::steady_timer chores_;
+    net::steady_timer maintenance_timer_;
     tcp::acceptor callers_{context_};
     tcp::acceptor ready_{context_};
     tcp::acceptor streams_{context_};
     std::unordered_set<caller_channel*> channels_;
-    state::time_point last_chores_{};
+    state::time_point last_maintenance_{};
     bool was_ready_ = false;
 };
 
-forwarder::forwarder(protocol::forward_settings settings, protocol::dialect const& words,
+forwarder::forwarder(protocol::forward_settings settings, protocol::dialect const& platform_dialect,
                      settings_source reread)
-    : implementation_{
-          std::make_unique<implementation>(std::move(settings), words, std::move(reread))}
+    : implementation_{std::make_unique<implementation>(std::move(settings), platform_dialect,
+                                                       std::move(reread))}
 {
 }
 
