--- a/src/transport/http_fetch.cpp
+++ b/src/transport/http_fetch.cpp
@@ -19,27 +19,27 @@
 using beast::error_code;
 using connection = std::unique_ptr<beast::tcp_stream>;
 
-constexpr std::uint64_t answer_limit = 16ULL * 1024 * 1024;
+constexpr std::uint64_t max_answer_bytes = 16ULL * 1024 * 1024;
 
 /// \brief How an exchange ended: an answer, or why there is none.
-struct exchange_end
+struct exchange_result
 {
     error_code error;
     fetch_answer answer;
     /// \brief The connection, when it can carry another request.
-    connection kept;
+    connection reusable;
 };
 
-using end_handler = std::function<void(exchange_end)>;
+using result_handler = std::function<void(exchange_result)>;
 
 /// \brief One request and its answer on one connection.
 class exchange final : public std::enable_shared_from_this<exchange>
 {
 public:
-    exchange(connection socket, fetch_request const& wanted, bool keep, end_handler handler)
+    exchange(connection socket, fetch_request const& wanted, bool keep, result_handler handler)
         : socket_{std::move(socket)}, handler_{std::move(handler)}
     {
-        parser_.body_limit(answer_limit);
+        parser_.body_limit(max_answer_bytes);
         request_.version(11);
         request_.method_string(wanted.method);
         request_.target(wanted.target);
@@ -77,12 +77,12 @@
 
     void finish()
     {
-        exchange_end end;
+        exchange_result end;
         end.answer = {parser_.get().result_int(), std::move(parser_.get().body()), fields()};
         if (request_.keep_alive() && parser_.keep_alive() && buffer_.size() == 0)
         {
             socket_->expires_never();
-            end.kept = std::move(socket_);
+            end.reusable = std::move(socket_);
         }
         handler_(std::move(end));
     }
@@ -99,19 +99,19 @@
 
     void fail(error_code error)
     {
-        exchange_end end;
+        exchange_result end;
         end.error = error;
         handler_(std::move(end));
     }
 
     connection socket_;
-    end_handler handler_;
+    result_handler handler_;
     http::request<http::string_body> request_;
     http::response_parser<http::string_body> parser_;
     beast::flat_buffer buffer_;
 };
 
-void tell(fetch_handler const& handler, exchange_end& end)
+void report(fetch_handler const& handler, exchange_result& end)
 {
     if (end.error)
     {
@@ -126,7 +126,7 @@
 {
     auto const sent = std::make_shared<exchange>(
         std::make_unique<beast::tcp_stream>(context), request, false,
-        [handler = std::move(handler)](exchange_end end) { tell(handler, end); });
+        [handler = std::move(handler)](exchange_result end) { report(handler, end); });
     sent->connect(request.address);
 }
 
@@ -140,34 +140,35 @@
 
     void send(fetch_request request, fetch_handler handler)
     {
-        connection kept = request.method == "GET" ? take(request.address) : nullptr;
-        if (kept == nullptr)
+        connection reusable = request.method == "GET" ? take(request.address) : nullptr;
+        if (reusable == nullptr)
         {
-            return send_anew(request, std::move(handler));
+            return send_on_new_connection(request, std::move(handler));
         }
         // The other end may have closed the connection, or lost track of it, while it was idle:
         // then nothing comes, or an end. A read may be sent again, so it is, on a new connection.
-        auto again = [self = shared_from_this(), request, handler](exchange_end end)
+        auto retry_on_error = [self = shared_from_this(), request, handler](exchange_result end)
         {
             if (end.error)
             {
-                return self->send_anew(request, handler);
+                return self->send_on_new_connection(request, handler);
             }
-            self->keep(request.address, std::move(end.kept));
-            tell(handler, end);
+            self->keep(request.address, std::move(end.reusable));
+            report(handler, end);
         };
-        std::make_shared<exchange>(std::move(kept), request, true, std::move(again))->send();
+        std::make_shared<exchange>(std::move(reusable), request, true, std::move(retry_on_error))
+            ->send();
     }
 
 private:
-    void send_anew(fetch_request const& request, fetch_handler handler)
+    void send_on_new_connection(fetch_request const& request, fetch_handler handler)
     {
         bool const reads = request.method == "GET";
         auto on_end = [self = shared_from_this(), address = request.address,
-                       handler = std::move(handler)](exchange_end end)
+                       handler = std::move(handler)](exchange_result end)
         {
-            self->keep(address, std::move(end.kept));
-            tell(handler, end);
+            self->keep(address, std::move(end.reusable));
+            report(handler, end);
         };
         std::make_shared<exchange>(std::make_unique<beast::tcp_stream>(context_), request, reads,
                                    std::move(on_end))
@@ -186,11 +187,11 @@
         return taken;
     }
 
-    void keep(state::endpoint address, connection kept)
+    void keep(state::endpoint address, connection reusable)
     {
-        if (kept != nullptr && idle_.size() < idle_limit)
+        if (reusable != nullptr && idle_.size() < max_idle_connections)
         {
-            idle_[address] = std::move(kept);
+            idle_[address] = std::move(reusable);
         }
     }
 
--- a/src/transport/http_fetch.hpp
+++ b/src/transport/http_fetch.hpp
@@ -52,7 +52,7 @@
 {
 public:
     /// \brief Most idle connections kept.
-    static constexpr std::size_t idle_limit = 1024;
+    static constexpr std::size_t max_idle_connections = 1024;
 
     explicit fetcher(net::io_context& context);
     fetcher(fetcher const&) = delete;
--- a/src/transport/limit_board.cpp
+++ b/src/transport/limit_tracker.cpp
@@ -1,4 +1,4 @@
-#include "limit_board.hpp"
+#include "limit_tracker.hpp"
 
 #include "boot_clock.hpp"
 #include "milliseconds.hpp"
@@ -28,33 +28,33 @@
     return per_second ? std::llround(std::min(most, seconds * *per_second)) : -1;
 }
 
-limit_board::limit_board(coordination::fleet_view const& fleet, state::node_id self,
-                         coordination::service_directory const& directory, decision_log& log)
+limit_tracker::limit_tracker(coordination::fleet_view const& fleet, state::node_id self,
+                             coordination::service_directory const& directory, decision_log& log)
     : fleet_{fleet}, directory_{directory}, log_{log}, known_{fleet, self}
 {
 }
 
-void limit_board::answered(state::member_key member, std::optional<double> per_second)
+void limit_tracker::answered(state::member_key member, std::optional<double> per_second)
 {
     log_change(known_.answered(member, per_second, boot_now()), member, {}, own);
-    changed();
+    on_changed();
 }
 
-void limit_board::take(std::span<state::stated_limit const> told)
+void limit_tracker::take(std::span<state::stated_limit const> received)
 {
-    for (state::stated_limit const& each : told)
+    for (state::stated_limit const& each : received)
     {
-        log_change(known_.hear(each, boot_now()), each.member, each.age, peer);
+        log_change(known_.apply_update(each, boot_now()), each.member, each.age, peer);
     }
 }
 
-void limit_board::sweep()
+void limit_tracker::sweep()
 {
     known_.sweep(boot_now());
 }
 
-void limit_board::log_change(limit_change change, state::member_key member, state::duration age,
-                             std::string_view source)
+void limit_tracker::log_change(limit_change change, state::member_key member, state::duration age,
+                               std::string_view source)
 {
     if (change == limit_change::none)
     {
@@ -66,8 +66,8 @@
     log_.write(part, decisions[static_cast<std::size_t>(change)], {},
                {{"upstream", entry == nullptr ? std::string_view{} : entry->info.name},
                 {"per_minute", per_minute(limit)},
-                {"senders", static_cast<std::int64_t>(
-                                coordination::upstream_limits::senders(limit.value_or(0.0), vms))},
+                {"senders", static_cast<std::int64_t>(coordination::upstream_limits::sender_count(
+                                limit.value_or(0.0), vms))},
                 {"vms", static_cast<std::int64_t>(vms)},
                 {"age_ms", whole_milliseconds(age)},
                 {"source", source}});
--- a/src/transport/limit_board.hpp
+++ b/src/transport/limit_tracker.hpp
@@ -17,16 +17,16 @@
 {
 
 /// \brief Keeps the limits, logs what changes, and has peers told; on one loop.
-class limit_board
+class limit_tracker
 {
 public:
-    limit_board(coordination::fleet_view const& fleet, state::node_id self,
-                coordination::service_directory const& directory, decision_log& log);
+    limit_tracker(coordination::fleet_view const& fleet, state::node_id self,
+                  coordination::service_directory const& directory, decision_log& log);
 
     /// \brief An upstream answered this VM, and stated this limit or none.
     void answered(state::member_key member, std::optional<double> per_second);
     /// \brief Takes what a peer tells.
-    void take(std::span<state::stated_limit const> told);
+    void take(std::span<state::stated_limit const> received);
     /// \brief Does what is due.
     void sweep();
 
@@ -40,7 +40,7 @@
     }
 
     /// \brief Called when peers are to be told something.
-    std::function<void()> changed = [] {
+    std::function<void()> on_changed = [] {
     };
 
 private:
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -14,9 +14,9 @@
 using boost::system::error_code;
 
 // Without descriptors left, accepting fails at once, again and again.
-constexpr auto retry_time = std::chrono::milliseconds{100};
+constexpr auto retry_delay = std::chrono::milliseconds{100};
 
-state::failure not_opened(state::endpoint where, error_code error)
+state::failure open_failure(state::endpoint where, error_code error)
 {
     return {state::error_kind::connection_failed,
             protocol::to_text(where) + ": " + error.message()};
@@ -36,7 +36,7 @@
     }
     if (error)
     {
-        return not_opened(where, error);
+        return open_failure(where, error);
     }
     return from_tcp(acceptor.local_endpoint());
 }
@@ -48,7 +48,7 @@
     socket.bind({net::ip::address_v4{where.address}, where.port}, error);
     if (error)
     {
-        return not_opened(where, error);
+        return open_failure(where, error);
     }
     auto const bound = socket.local_endpoint();
     return state::endpoint{bound.address().to_v4().to_uint(), bound.port()};
@@ -68,7 +68,7 @@
 
 void listener::accept()
 {
-    auto const index = static_cast<std::uint32_t>(next_++ % workers_.size());
+    auto const index = static_cast<std::uint32_t>(next_worker_++ % workers_.size());
     acceptor_.async_accept(workers_[index]->context(),
                            [this, index](error_code error, tcp::socket socket)
                            { on_accepted(error, index, std::move(socket)); });
@@ -82,7 +82,7 @@
     }
     if (error)
     {
-        retry_timer_.expires_after(retry_time);
+        retry_timer_.expires_after(retry_delay);
         retry_timer_.async_wait([this](error_code failed) { failed ? void() : accept(); });
         return;
     }
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -46,7 +46,7 @@
     net::steady_timer retry_timer_;
     std::span<std::unique_ptr<worker> const> workers_;
     handler on_socket_;
-    std::uint32_t next_ = 0;
+    std::uint32_t next_worker_ = 0;
 };
 
 } // namespace plumdale::transport
--- a/src/transport/log.cpp
+++ b/src/transport/log.cpp
@@ -62,21 +62,21 @@
 
 } // namespace
 
-void start_log(log_level threshold, log_format format)
+void initialize_log(log_level threshold, log_format format)
 {
     boost::log::core::get()->add_global_attribute("TimeStamp", boost::log::attributes::utc_clock());
     auto const sink =
         boost::log::add_console_log(std::clog, boost::log::keywords::auto_flush = true);
     sink->set_formatter(format == log_format::json ? &write_json : &write_text);
-    int const least = static_cast<int>(threshold);
-    boost::log::core::get()->set_filter(expr::attr<int>("Severity") >= least);
+    int const min_severity = static_cast<int>(threshold);
+    boost::log::core::get()->set_filter(expr::attr<int>("Severity") >= min_severity);
 }
 
-void log(log_level level, std::string_view part, std::string_view sentence)
+void log(log_level level, std::string_view part, std::string_view message)
 {
     thread_local boost::log::sources::severity_logger<int> logger;
     BOOST_LOG_SEV(logger, static_cast<int>(level))
-        << boost::log::add_value("Part", std::string{part}) << sentence;
+        << boost::log::add_value("Part", std::string{part}) << message;
 }
 
 } // namespace plumdale::transport
--- a/src/transport/metrics.cpp
+++ b/src/transport/metrics.cpp
@@ -66,10 +66,10 @@
     return read;
 }
 
-worker_sample sample(worker_metrics const& metrics, state::time_point now)
+worker_sample take_sample(worker_metrics const& metrics, state::time_point now)
 {
     return {metrics.counts, metrics.first_token.read(), metrics.token_gap.read(),
-            metrics.loop_lag.read(), metrics.burn.report(now)};
+            metrics.loop_lag.read(), metrics.error_budgets.report(now)};
 }
 
 namespace
@@ -120,7 +120,7 @@
 using count_member = std::uint64_t worker_counts::*;
 
 // Quantiles of several workers are averaged by their counts: callers fall on workers in turn.
-latency_summary::values joined(std::span<worker_sample const> workers, summary_member member)
+latency_summary::values merged(std::span<worker_sample const> workers, summary_member member)
 {
     latency_summary::values all;
     for (worker_sample const& each : workers)
@@ -232,7 +232,8 @@
 using coordination::delivery_counts;
 
 constexpr std::array<delivery_row, 8> shard_rows{{
-    {"tokens_crossed_total", &delivery_counts::crossed, "Tokens of another identity, dropped."},
+    {"tokens_crossed_total", &delivery_counts::wrong_identity,
+     "Tokens of another identity, dropped."},
     {"tokens_duplicate_total", &delivery_counts::duplicate, "Tokens delivered before, dropped."},
     {"tokens_skipped_total", &delivery_counts::skipped, "Tokens after a gap, dropped."},
     {"events_late_total", &delivery_counts::late, "Events of exchanges that are closed."},
@@ -272,11 +273,11 @@
     writer.gauge("connections", static_cast<double>(connections), "Open connections of callers.");
     write_refusals(writer, workers);
     write_summary(writer, "first_token_seconds", "Time to the first token.",
-                  joined(workers, &worker_sample::first_token));
+                  merged(workers, &worker_sample::first_token));
     write_summary(writer, "token_gap_seconds", "Time between two tokens of an answer.",
-                  joined(workers, &worker_sample::token_gap));
+                  merged(workers, &worker_sample::token_gap));
     write_summary(writer, "loop_lag_seconds", "How late a worker's timer fires.",
-                  joined(workers, &worker_sample::loop_lag));
+                  merged(workers, &worker_sample::loop_lag));
     write_control(writer, control);
     write_gauges(writer, gauges);
     return writer.take();
--- a/src/transport/metrics.hpp
+++ b/src/transport/metrics.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <plumdale/coordination/burn_book.hpp>
 #include <plumdale/coordination/delivery_counts.hpp>
+#include <plumdale/coordination/error_budget_tracker.hpp>
 #include <plumdale/state/error_kind.hpp>
 
 #include <array>
@@ -68,7 +68,7 @@
     latency_summary first_token;
     latency_summary token_gap;
     latency_summary loop_lag;
-    coordination::burn_book burn{coordination::burn_settings{}};
+    coordination::error_budget_tracker error_budgets{coordination::error_budget_settings{}};
 };
 
 /// \brief A copy of one worker's figures.
@@ -78,10 +78,10 @@
     latency_summary::values first_token;
     latency_summary::values token_gap;
     latency_summary::values loop_lag;
-    coordination::burn_report burn;
+    coordination::error_budget_report error_budgets;
 };
 
-[[nodiscard]] worker_sample sample(worker_metrics const& metrics, state::time_point now);
+[[nodiscard]] worker_sample take_sample(worker_metrics const& metrics, state::time_point now);
 
 /// \brief Counts of the control thread, readable from others.
 struct control_metrics
--- a/src/transport/operations_page.cpp
+++ b/src/transport/operations_page.cpp
@@ -23,8 +23,8 @@
 // Before anything of the platform was heard there is no age.
 json::value platform_age(forward_core const& core, state::time_point now)
 {
-    return core.informed() ? json::value{whole_milliseconds(core.platform_age(now))}
-                           : json::value{};
+    return core.can_route() ? json::value{whole_milliseconds(core.platform_age(now))}
+                            : json::value{};
 }
 
 json::array evacuation_rows(forward_core const& core)
@@ -43,7 +43,7 @@
     state::time_point const now = boot_now();
     return {{"name", core.settings.name},
             {"zone", core.settings.zone},
-            {"ready", core.informed() && core.closing_since == state::never},
+            {"ready", core.can_route() && core.closing_since == state::never},
             {"configuration", core.version()},
             {"platform_age_ms", platform_age(core, now)},
             {"reads_platform", core.fleet.is_reader()},
@@ -51,8 +51,8 @@
             {"evacuations", evacuation_rows(core)},
             {"evacuations_as_of", state::revision_in(core.directory.evacuations().known().as_of)},
             {"store_era", state::era_in(core.directory.evacuations().known().as_of)},
-            {"requests_quarantined", core.quarantine.known().refused()},
-            {"live_entry_vms", core.fleet.live(now)},
+            {"requests_quarantined", core.quarantine.known().refused_count()},
+            {"live_entry_vms", core.fleet.live_count(now)},
             {"calls_in_progress", core.calls_in_progress}};
 }
 
@@ -105,9 +105,9 @@
         core.routing == nullptr ? nullptr : core.routing->find_service(entry.info.service);
     if (service != nullptr)
     {
-        row["fullness"] = core.choice.fullness(entry, *service, {});
-        row["cold"] = core.choice.is_cold(entry, *service, now);
-        row["takes_own_request"] = core.choice.may_send(entry, *service, now);
+        row["fullness"] = core.selector.fullness(entry, *service, {});
+        row["cold"] = core.selector.is_cold(entry, *service, now);
+        row["takes_own_request"] = core.selector.may_send(entry, *service, now);
     }
     return row;
 }
--- a/src/transport/pause_watch.hpp
+++ b/src/transport/pause_detector.hpp
@@ -15,30 +15,31 @@
 /// A VM that was suspended finds its monotonic clock behind the one that counts suspension; a
 /// process that was stopped finds that a timer should have fired long ago. Either would go on to
 /// dispatch by what it knew before.
-class pause_watch
+class pause_detector
 {
 public:
-    /// \brief `ahead` is how far the suspension-counting clock is ahead of the monotonic one.
-    pause_watch(state::duration tolerance, state::duration ahead) noexcept
-        : tolerance_{tolerance}, ahead_{ahead}
+    /// \brief `clock_offset` is how far the suspension-counting clock is ahead of the monotonic
+    /// one.
+    pause_detector(state::duration tolerance, state::duration clock_offset) noexcept
+        : tolerance_{tolerance}, clock_offset_{clock_offset}
     {
     }
 
     /// \brief Returns how long the process did not run when that is above the tolerance, else zero.
-    /// `armed` is the moment for which the thread's timer was set.
-    [[nodiscard]] state::duration gap(state::time_point now, state::duration ahead,
-                                      state::time_point armed) noexcept
+    /// `timer_at` is the moment for which the thread's timer was set.
+    [[nodiscard]] state::duration pause_length(state::time_point now, state::duration clock_offset,
+                                               state::time_point timer_at) noexcept
     {
-        state::duration const suspended = ahead - ahead_;
-        ahead_ = ahead;
-        state::duration const late = armed < now ? now - armed : state::duration::zero();
+        state::duration const suspended = clock_offset - clock_offset_;
+        clock_offset_ = clock_offset;
+        state::duration const late = timer_at < now ? now - timer_at : state::duration::zero();
         state::duration const longest = std::max(suspended, late);
         return longest > tolerance_ ? longest : state::duration::zero();
     }
 
 private:
     state::duration tolerance_;
-    state::duration ahead_;
+    state::duration clock_offset_;
 };
 
 } // namespace plumdale::transport
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -2,7 +2,7 @@
 
 #include "clock.hpp"
 
-#include <plumdale/protocol/link_seal.hpp>
+#include <plumdale/protocol/link_authenticator.hpp>
 
 #include <boost/asio/connect.hpp>
 #include <boost/asio/io_context.hpp>
@@ -23,24 +23,24 @@
 {
 
 using boost::system::error_code;
-using direction = protocol::link_seal::direction;
+using direction = protocol::link_authenticator::direction;
 
 // On the wire: length (4 bytes, little-endian), MAC, Cap'n Proto message.
 constexpr std::size_t length_bytes = 4;
-constexpr std::size_t prefix_bytes = length_bytes + sizeof(protocol::link_tag);
+constexpr std::size_t prefix_bytes = length_bytes + sizeof(protocol::link_mac);
 // Before the peer proved that it holds the key, it gets no memory to fill.
 constexpr std::uint32_t hello_limit = 1024;
 // A read of a long frame grows its buffer as bytes arrive, not by the length that was claimed.
-constexpr std::size_t read_step = 262'144;
+constexpr std::size_t max_read_bytes = 262'144;
 
-std::string prefix_of(std::size_t length, protocol::link_tag const& tag)
+std::string frame_prefix(std::size_t length, protocol::link_mac const& mac)
 {
     std::string prefix;
     for (std::size_t i = 0; i < length_bytes; ++i)
     {
         prefix += static_cast<char>(length >> (8 * i));
     }
-    prefix.append(tag.begin(), tag.end());
+    prefix.append(mac.begin(), mac.end());
     return prefix;
 }
 
@@ -49,7 +49,7 @@
 public:
     tcp_link(tcp::socket socket, direction side, link_settings const& settings,
              link_listener listener)
-        : socket_{std::move(socket)}, beat_timer_{socket_.get_executor()},
+        : socket_{std::move(socket)}, heartbeat_timer_{socket_.get_executor()},
           silence_timer_{socket_.get_executor()}, side_{side}, settings_{settings},
           listener_{std::move(listener)}
     {
@@ -58,15 +58,15 @@
 
     void connect(state::endpoint address)
     {
-        watch_silence();
+        arm_silence_timer();
         socket_.async_connect(to_tcp(address), [self = shared_from_this()](error_code error)
-                              { error ? self->fail() : self->greet(); });
+                              { error ? self->fail() : self->send_hello(); });
     }
 
     void start()
     {
-        watch_silence();
-        greet();
+        arm_silence_timer();
+        send_hello();
     }
 
     void send(protocol::link_frame const& frame) override
@@ -76,9 +76,9 @@
             return;
         }
         std::string bytes = protocol::encode_frame(frame, now());
-        if (!sealer_)
+        if (!send_authenticator_)
         {
-            return early_.push_back(std::move(bytes));
+            return frames_before_open_.push_back(std::move(bytes));
         }
         enqueue(bytes);
     }
@@ -93,20 +93,20 @@
         closed_ = true;
         error_code ignored;
         socket_.close(ignored);
-        beat_timer_.cancel();
+        heartbeat_timer_.cancel();
         silence_timer_.cancel();
     }
 
 private:
     // -- opening ----
 
-    void greet()
+    void send_hello()
     {
         error_code ignored;
         socket_.set_option(tcp::no_delay{true}, ignored);
         std::string const bytes =
             protocol::encode_frame({0, protocol::link_hello{settings_.self, nonce_}}, now());
-        pending_ += prefix_of(bytes.size(), protocol::hello_tag(settings_.fleet_key, bytes));
+        pending_ += frame_prefix(bytes.size(), protocol::hello_mac(settings_.fleet_key, bytes));
         pending_ += bytes;
         flush();
         read_prefix();
@@ -114,7 +114,7 @@
 
     void on_hello(std::string_view bytes)
     {
-        std::string const* const key = key_of(bytes);
+        std::string const* const key = find_signing_key(bytes);
         if (key == nullptr)
         {
             return fail();
@@ -128,12 +128,12 @@
             return fail();
         }
         peer_ = hello->node;
-        make_seals(hello->nonce, *key);
-        for (std::string const& each : std::exchange(early_, {}))
+        make_authenticators(hello->nonce, *key);
+        for (std::string const& each : std::exchange(frames_before_open_, {}))
         {
             enqueue(each);
         }
-        beat();
+        arm_heartbeat_timer();
         if (listener_.opened)
         {
             listener_.opened();
@@ -142,11 +142,11 @@
 
     /// \brief Returns the key that the other side's hello was signed with; null when it is none of
     /// ours.
-    std::string const* key_of(std::string_view hello) const
+    std::string const* find_signing_key(std::string_view hello) const
     {
         auto const signed_by = [&](std::string const& key)
         {
-            return protocol::same_tag(protocol::hello_tag(key, hello), tag_);
+            return protocol::macs_equal(protocol::hello_mac(key, hello), received_mac_);
         };
         if (signed_by(settings_.fleet_key))
         {
@@ -159,14 +159,14 @@
 
     // Each direction is sealed with the key of its sender: while the fleet changes its key, the two
     // sides may sign with different ones.
-    void make_seals(protocol::link_nonce const& theirs, std::string const& their_key)
+    void make_authenticators(protocol::link_nonce const& peer_nonce, std::string const& peer_key)
     {
-        bool const opener = side_ == direction::from_opener;
-        auto const& first = opener ? nonce_ : theirs;
-        auto const& second = opener ? theirs : nonce_;
-        auto const other = opener ? direction::from_accepter : direction::from_opener;
-        sealer_.emplace(settings_.fleet_key, first, second, side_);
-        checker_.emplace(their_key, first, second, other);
+        bool const is_initiator = side_ == direction::from_initiator;
+        auto const& first = is_initiator ? nonce_ : peer_nonce;
+        auto const& second = is_initiator ? peer_nonce : nonce_;
+        auto const other = is_initiator ? direction::from_responder : direction::from_initiator;
+        send_authenticator_.emplace(settings_.fleet_key, first, second, side_);
+        receive_authenticator_.emplace(peer_key, first, second, other);
     }
 
     // -- reading ----
@@ -189,8 +189,8 @@
         {
             length |= static_cast<std::uint32_t>(static_cast<unsigned char>(prefix_[i])) << (8 * i);
         }
-        std::copy(prefix_.begin() + length_bytes, prefix_.end(), tag_.begin());
-        if (length > (checker_ ? settings_.frame_limit : hello_limit))
+        std::copy(prefix_.begin() + length_bytes, prefix_.end(), received_mac_.begin());
+        if (length > (receive_authenticator_ ? settings_.frame_limit : hello_limit))
         {
             return fail();
         }
@@ -201,7 +201,7 @@
     void read_frame(std::size_t length)
     {
         std::size_t const have = frame_.size();
-        std::size_t const step = std::min(length - have, read_step);
+        std::size_t const step = std::min(length - have, max_read_bytes);
         frame_.resize(have + step);
         net::async_read(socket_, net::buffer(frame_.data() + have, step),
                         [self = shared_from_this(), length](error_code error, std::size_t)
@@ -210,7 +210,7 @@
                             {
                                 return self->fail();
                             }
-                            self->heard_ = now();
+                            self->last_contact_ = now();
                             self->frame_.size() < length ? self->read_frame(length)
                                                          : self->on_frame();
                         });
@@ -222,16 +222,16 @@
         {
             return;
         }
-        checker_ ? on_sealed() : on_hello(frame_);
+        receive_authenticator_ ? on_data_frame() : on_hello(frame_);
         if (!closed_)
         {
             read_prefix();
         }
     }
 
-    void on_sealed()
+    void on_data_frame()
     {
-        if (!protocol::same_tag(checker_->next(frame_), tag_))
+        if (!protocol::macs_equal(receive_authenticator_->next_mac(frame_), received_mac_))
         {
             return fail();
         }
@@ -240,7 +240,7 @@
         {
             return fail();
         }
-        if (frame_.capacity() > read_step)
+        if (frame_.capacity() > max_read_bytes)
         {
             std::string{}.swap(frame_);
         }
@@ -255,7 +255,7 @@
 
     void enqueue(std::string_view bytes)
     {
-        pending_ += prefix_of(bytes.size(), sealer_->next(bytes));
+        pending_ += frame_prefix(bytes.size(), send_authenticator_->next_mac(bytes));
         pending_ += bytes;
         if (!blocked_ && pending_.size() > settings_.buffer)
         {
@@ -303,10 +303,10 @@
 
     // -- being alive ----
 
-    void beat()
+    void arm_heartbeat_timer()
     {
-        beat_timer_.expires_after(settings_.heartbeat);
-        beat_timer_.async_wait(
+        heartbeat_timer_.expires_after(settings_.heartbeat_interval);
+        heartbeat_timer_.async_wait(
             [self = shared_from_this()](error_code error)
             {
                 if (error || self->closed_)
@@ -317,15 +317,15 @@
                 {
                     self->send({0, protocol::link_heartbeat{}});
                 }
-                self->beat();
+                self->arm_heartbeat_timer();
             });
     }
 
     // Something between the two ends may have lost track of the connection: then the socket stays
     // open and every byte is lost. Only what arrives proves that the peer is there.
-    void watch_silence()
+    void arm_silence_timer()
     {
-        silence_timer_.expires_at(steady(heard_) + settings_.silence);
+        silence_timer_.expires_at(to_steady(last_contact_) + settings_.silence_timeout);
         silence_timer_.async_wait(
             [self = shared_from_this()](error_code error)
             {
@@ -333,8 +333,9 @@
                 {
                     return;
                 }
-                now() - self->heard_ >= self->settings_.silence ? self->fail()
-                                                                : self->watch_silence();
+                now() - self->last_contact_ >= self->settings_.silence_timeout
+                    ? self->fail()
+                    : self->arm_silence_timer();
             });
     }
 
@@ -344,28 +345,28 @@
         {
             return;
         }
-        auto const told = std::move(listener_.closed);
+        auto const on_closed = std::move(listener_.closed);
         close();
-        if (told)
+        if (on_closed)
         {
-            told();
+            on_closed();
         }
     }
 
     tcp::socket socket_;
-    net::steady_timer beat_timer_;
+    net::steady_timer heartbeat_timer_;
     net::steady_timer silence_timer_;
     direction side_;
     link_settings settings_;
     link_listener listener_;
     protocol::link_nonce nonce_{};
     state::node_id peer_;
-    std::optional<protocol::link_seal> sealer_;
-    std::optional<protocol::link_seal> checker_;
-    std::vector<std::string> early_;
-    state::time_point heard_ = now();
+    std::optional<protocol::link_authenticator> send_authenticator_;
+    std::optional<protocol::link_authenticator> receive_authenticator_;
+    std::vector<std::string> frames_before_open_;
+    state::time_point last_contact_ = now();
     std::array<char, prefix_bytes> prefix_{};
-    protocol::link_tag tag_{};
+    protocol::link_mac received_mac_{};
     std::string frame_;
     std::string pending_;
     std::string sending_;
@@ -379,8 +380,8 @@
 std::shared_ptr<peer_link> open_link(net::io_context& context, state::endpoint address,
                                      link_settings const& settings, link_listener listener)
 {
-    auto link = std::make_shared<tcp_link>(tcp::socket{context}, direction::from_opener, settings,
-                                           std::move(listener));
+    auto link = std::make_shared<tcp_link>(tcp::socket{context}, direction::from_initiator,
+                                           settings, std::move(listener));
     link->connect(address);
     return link;
 }
@@ -388,7 +389,7 @@
 std::shared_ptr<peer_link> accept_link(tcp::socket socket, link_settings const& settings,
                                        link_listener listener)
 {
-    auto link = std::make_shared<tcp_link>(std::move(socket), direction::from_accepter, settings,
+    auto link = std::make_shared<tcp_link>(std::move(socket), direction::from_responder, settings,
                                            std::move(listener));
     link->start();
     return link;
--- a/src/transport/peer_link.hpp
+++ b/src/transport/peer_link.hpp
@@ -40,9 +40,9 @@
     /// \brief Bytes waiting above which `blocked(true)` is called.
     std::uint32_t buffer = 256U * 1024;
     /// \brief A side with nothing to say says so this often.
-    std::chrono::milliseconds heartbeat{1000};
+    std::chrono::milliseconds heartbeat_interval{1000};
     /// \brief A link on which nothing arrives for this long is closed, whatever its socket says.
-    std::chrono::milliseconds silence{3000};
+    std::chrono::milliseconds silence_timeout{3000};
 };
 
 /// \brief A link: frames in both directions, each with a MAC.
--- a/src/transport/plain_call.cpp
+++ b/src/transport/plain_call.cpp
@@ -31,22 +31,22 @@
     if (end != exchange_end::whole)
     {
         // One that ended with its connection may have been cut short: that can't be told apart.
-        return ran_and_failed(end == exchange_end::unconfirmed ? "answer of unknown length"
-                                                               : "connection broke");
+        return retry_or_refuse(end == exchange_end::unconfirmed ? "answer of unknown length"
+                                                                : "connection broke");
     }
-    if (is_success() && (!answer_.sealed || answer_.encoded))
+    if (is_success() && (!answer_.is_signed || answer_.encoded))
     {
         core_.metrics.add(forward_count::answers_discarded);
-        return ran_and_failed("answer without a signature");
+        return retry_or_refuse("answer without a signature");
     }
     if (!is_success() && may_send_again())
     {
-        return ran_and_failed("failed at the upstream");
+        return retry_or_refuse("failed at the upstream");
     }
     core_.health.note(
         member_, is_success() ? coordination::call_result::good : coordination::call_result::failed,
         boot_now());
-    pass_on();
+    deliver_answer();
 }
 
 bool plain_call::is_success() const
@@ -57,10 +57,10 @@
 bool plain_call::may_send_again() const
 {
     return admitted_.route->kind == state::call_kind::idempotent &&
-           runs_ + 1 < admitted_.route->max_attempts;
+           possible_runs_ + 1 < admitted_.route->max_attempts;
 }
 
-void plain_call::pass_on()
+void plain_call::deliver_answer()
 {
     core_.metrics.add(forward_count::answered);
     core_.metrics.answered(boot_now() - admitted_.call.read_at);
@@ -79,22 +79,22 @@
 {
     bool const waits = exchange_ != nullptr && exchange_->sent() && may_send_again();
     state::time_point const slow =
-        waits ? send_at_ + slow_objectives * admitted_.route->target_latency : state::never;
+        waits ? sent_at_ + slow_answer_factor * admitted_.route->target_latency : state::never;
     return std::min(forward_call::next_deadline(), slow);
 }
 
 void plain_call::on_timer(state::time_point now)
 {
     bool const is_slow = exchange_ != nullptr && exchange_->sent() && may_send_again() &&
-                         now >= send_at_ + slow_objectives * admitted_.route->target_latency;
+                         now >= sent_at_ + slow_answer_factor * admitted_.route->target_latency;
     if (is_slow)
     {
-        return ran_and_failed("no answer in time");
+        return retry_or_refuse("no answer in time");
     }
     forward_call::on_timer(now);
 }
 
-void plain_call::time_over()
+void plain_call::on_timeout()
 {
     bool const sent = may_have_run() || (exchange_ != nullptr && exchange_->sent());
     refuse(sent ? state::error_kind::may_have_run : state::error_kind::overloaded, "time is over");
--- a/src/transport/plain_call.hpp
+++ b/src/transport/plain_call.hpp
@@ -22,12 +22,12 @@
 
 private:
     void answer_ended(exchange_end end) override;
-    void time_over() override;
+    void on_timeout() override;
     void on_timer(state::time_point now) override;
     [[nodiscard]] state::time_point next_deadline() const override;
     [[nodiscard]] bool is_success() const;
     [[nodiscard]] bool may_send_again() const;
-    void pass_on();
+    void deliver_answer();
 
     std::string body_;
 };
--- a/src/transport/quarantine_board.cpp
+++ b/src/transport/quarantine_tracker.cpp
@@ -1,4 +1,4 @@
-#include "quarantine_board.hpp"
+#include "quarantine_tracker.hpp"
 
 #include "boot_clock.hpp"
 
@@ -15,13 +15,13 @@
 
 } // namespace
 
-quarantine_board::quarantine_board(decision_log& log, forward_metrics& metrics)
+quarantine_tracker::quarantine_tracker(decision_log& log, forward_metrics& metrics)
     : log_{log}, metrics_{metrics}
 {
 }
 
-void quarantine_board::upstream_ended(request_attempt const& attempt, state::member_key member,
-                                      std::string_view name)
+void quarantine_tracker::upstream_ended(request_attempt const& attempt, state::member_key member,
+                                        std::string_view name)
 {
     if (!known_.upstream_ended(attempt.request, member, boot_now()))
     {
@@ -32,25 +32,25 @@
                    ? "refused from now on"
                    : "upstream ended",
                attempt, name, own);
-    changed();
+    on_changed();
 }
 
-void quarantine_board::answered(request_attempt const& attempt)
+void quarantine_tracker::answered(request_attempt const& attempt)
 {
     if (known_.answered(attempt.request, boot_now()))
     {
         log_change("cleared", attempt, {}, own);
-        changed();
+        on_changed();
     }
 }
 
-void quarantine_board::take(std::span<coordination::request_evidence const> told)
+void quarantine_tracker::take(std::span<coordination::request_evidence const> received)
 {
-    for (coordination::request_evidence const& each : told)
+    for (coordination::request_evidence const& each : received)
     {
         state::time_point const now = boot_now();
         bool const was_refused = known_.refused_for(each.request, now) > state::duration::zero();
-        known_.hear(each, now);
+        known_.apply_update(each, now);
         bool const is_refused = known_.refused_for(each.request, now) > state::duration::zero();
         if (was_refused != is_refused)
         {
@@ -60,26 +60,27 @@
     }
 }
 
-bool quarantine_board::refuses(state::request_digest request)
+bool quarantine_tracker::refuses(state::request_digest request)
 {
     return known_.refuses(request, boot_now());
 }
 
 // Peers are told of requests that were answered here with the next sweep, not at once: all VMs that
 // answered one hear of its upstream's end together, and one answer to that is enough.
-void quarantine_board::sweep()
+void quarantine_tracker::sweep()
 {
     known_.forget(boot_now());
-    changed();
+    on_changed();
 }
 
-void quarantine_board::log_change(std::string_view decision, request_attempt const& attempt,
-                                  std::string_view upstream, std::string_view source)
+void quarantine_tracker::log_change(std::string_view decision, request_attempt const& attempt,
+                                    std::string_view upstream, std::string_view source)
 {
     log_.write(part, decision, attempt.id,
                {{"request", protocol::to_hex(attempt.request.value)},
                 {"upstream", upstream},
-                {"upstreams_ended", static_cast<std::int64_t>(known_.ended_under(attempt.request))},
+                {"upstreams_ended",
+                 static_cast<std::int64_t>(known_.ended_upstream_count(attempt.request))},
                 {"source", source}});
 }
 
--- a/src/transport/quarantine_board.hpp
+++ b/src/transport/quarantine_tracker.hpp
@@ -24,10 +24,10 @@
 };
 
 /// \brief Keeps the quarantine, logs what it changes, and has peers told; on one loop.
-class quarantine_board
+class quarantine_tracker
 {
 public:
-    quarantine_board(decision_log& log, forward_metrics& metrics);
+    quarantine_tracker(decision_log& log, forward_metrics& metrics);
 
     /// \brief The connection of an upstream that was sent the request ended before its answer.
     void upstream_ended(request_attempt const& attempt, state::member_key member,
@@ -35,7 +35,7 @@
     /// \brief An upstream answered the request whole.
     void answered(request_attempt const& attempt);
     /// \brief Takes what a peer tells.
-    void take(std::span<coordination::request_evidence const> told);
+    void take(std::span<coordination::request_evidence const> received);
     /// \brief Returns whether a request is refused now.
     [[nodiscard]] bool refuses(state::request_digest request);
     /// \brief Does what is due.
@@ -51,7 +51,7 @@
     }
 
     /// \brief Called when peers are to be told something.
-    std::function<void()> changed = [] {
+    std::function<void()> on_changed = [] {
     };
 
 private:
--- a/src/transport/relay_client.cpp
+++ b/src/transport/relay_client.cpp
@@ -14,10 +14,10 @@
 {
 
 using coordination::relay_failed;
-using protocol::caller_news;
+using protocol::caller_event;
 
 // A link costs two heartbeats a second; one that no relay used for this long is closed.
-constexpr auto idle_limit = std::chrono::seconds{30};
+constexpr auto idle_timeout = std::chrono::seconds{30};
 
 bool ends_relay(protocol::link_body const& body)
 {
@@ -43,7 +43,7 @@
 
 void relay_client::relay(coordination::relay_request const& action)
 {
-    peer_entry& peer = peer_for(action.node, action.address);
+    peer_entry& peer = find_or_connect(action.node, action.address);
     peer.relays.insert(action.caller);
     relays_[action.caller] = action.node;
     peer.link->send({action.caller.value, action.request});
@@ -51,19 +51,20 @@
 
 void relay_client::close(state::caller_handle caller)
 {
-    tell(caller, caller_news::gone);
-    forget(caller);
+    send_event(caller, caller_event::disconnected);
+    remove_relay(caller);
 }
 
-void relay_client::tell(state::caller_handle caller, caller_news news)
+void relay_client::send_event(state::caller_handle caller, caller_event event)
 {
     if (auto const found = relays_.find(caller); found != relays_.end())
     {
-        peers_.at(found->second).link->send({caller.value, news});
+        peers_.at(found->second).link->send({caller.value, event});
     }
 }
 
-relay_client::peer_entry& relay_client::peer_for(state::node_id node, state::endpoint address)
+relay_client::peer_entry& relay_client::find_or_connect(state::node_id node,
+                                                        state::endpoint address)
 {
     if (auto const found = peers_.find(node); found != peers_.end())
     {
@@ -71,7 +72,7 @@
         {
             return found->second;
         }
-        drop(node);
+        drop_peer(node);
     }
     peer_entry& made = peers_[node];
     made.address = address;
@@ -108,7 +109,7 @@
     }
     if (ends_relay(frame.body))
     {
-        forget(caller);
+        remove_relay(caller);
     }
     if (auto* const head = std::get_if<coordination::relay_head>(&frame.body))
     {
@@ -130,11 +131,11 @@
 
 void relay_client::on_closed(state::node_id node)
 {
-    drop(node);
+    drop_peer(node);
 }
 
 // Until the link opened, nothing of the requests was sent: the owner can't have seen them.
-void relay_client::drop(state::node_id node)
+void relay_client::drop_peer(state::node_id node)
 {
     auto const found = peers_.find(node);
     peer_entry const lost = std::move(found->second);
@@ -148,7 +149,7 @@
     }
 }
 
-void relay_client::forget(state::caller_handle caller)
+void relay_client::remove_relay(state::caller_handle caller)
 {
     auto const found = relays_.find(caller);
     if (found == relays_.end())
@@ -163,11 +164,11 @@
 
 void relay_client::close_idle_links()
 {
-    if (std::exchange(idle_armed_, true))
+    if (std::exchange(is_idle_timer_armed_, true))
     {
         return;
     }
-    idle_timer_.expires_after(idle_limit);
+    idle_timer_.expires_after(idle_timeout);
     idle_timer_.async_wait(
         [this](boost::system::error_code error)
         {
@@ -175,13 +176,13 @@
             {
                 return;
             }
-            idle_armed_ = false;
+            is_idle_timer_armed_ = false;
             std::erase_if(peers_,
                           [](auto const& entry)
                           {
                               peer_entry const& each = entry.second;
                               bool const idle =
-                                  each.relays.empty() && now() - each.idle_since >= idle_limit;
+                                  each.relays.empty() && now() - each.idle_since >= idle_timeout;
                               if (idle)
                               {
                                   each.link->close();
--- a/src/transport/relay_client.hpp
+++ b/src/transport/relay_client.hpp
@@ -35,7 +35,7 @@
     /// \brief Gives a relay up.
     void close(state::caller_handle caller);
     /// \brief Tells the owner how the caller reads; nothing when it has no relay.
-    void tell(state::caller_handle caller, protocol::caller_news news);
+    void send_event(state::caller_handle caller, protocol::caller_event event);
 
 private:
     struct peer_entry
@@ -47,19 +47,19 @@
         state::time_point idle_since{};
     };
 
-    peer_entry& peer_for(state::node_id node, state::endpoint address);
+    peer_entry& find_or_connect(state::node_id node, state::endpoint address);
     link_listener listener_for(state::node_id node);
     void on_frame(state::node_id node, protocol::link_frame frame);
     void on_closed(state::node_id node);
-    void drop(state::node_id node);
-    void forget(state::caller_handle caller);
+    void drop_peer(state::node_id node);
+    void remove_relay(state::caller_handle caller);
     void close_idle_links();
 
     net::io_context& context_;
     link_settings settings_;
     event_handler on_event_;
     net::steady_timer idle_timer_;
-    bool idle_armed_ = false;
+    bool is_idle_timer_armed_ = false;
     std::unordered_map<state::node_id, peer_entry> peers_;
     std::unordered_map<state::caller_handle, state::node_id> relays_;
 };
--- a/src/transport/relay_server.cpp
+++ b/src/transport/relay_server.cpp
@@ -10,26 +10,26 @@
 namespace
 {
 
-using protocol::caller_news;
+using protocol::caller_event;
 
 /// \brief A peer that waits for an answer on behalf of its caller.
-class relay_port final : public caller_port
+class relay_answer_sink final : public answer_sink
 {
 public:
-    relay_port(std::weak_ptr<peer_link> link, std::uint64_t exchange,
-               std::function<void(std::uint64_t)> on_end)
+    relay_answer_sink(std::weak_ptr<peer_link> link, std::uint64_t exchange,
+                      std::function<void(std::uint64_t)> on_end)
         : link_{std::move(link)}, exchange_{exchange}, on_end_{std::move(on_end)}
     {
     }
 
-    [[nodiscard]] bool began() const noexcept override
+    [[nodiscard]] bool has_started() const noexcept override
     {
-        return began_;
+        return has_started_;
     }
 
     void deliver(coordination::send_head const& head) override
     {
-        began_ = true;
+        has_started_ = true;
         send(coordination::relay_head{{exchange_}, head.generation, head.upstream});
     }
 
@@ -67,19 +67,22 @@
 
     std::weak_ptr<peer_link> link_;
     std::uint64_t exchange_;
-    bool began_ = false;
+    bool has_started_ = false;
     std::function<void(std::uint64_t)> on_end_;
 };
 
 } // namespace
 
 /// \brief One link with the relays on it.
-class relay_server::host final : public std::enable_shared_from_this<host>
+class relay_server::session final : public std::enable_shared_from_this<session>
 {
 public:
-    host(relay_server& server, std::uint64_t number) : server_{server}, number_{number} {}
+    session(relay_server& server, std::uint64_t session_id)
+        : server_{server}, session_id_{session_id}
+    {
+    }
 
-    ~host()
+    ~session()
     {
         if (link_ != nullptr)
         {
@@ -100,7 +103,7 @@
         };
         listener.blocked = [this](bool blocked)
         {
-            tell_all(blocked);
+            on_link_blocked(blocked);
         };
         link_ = accept_link(std::move(socket), server_.settings_, std::move(listener));
     }
@@ -119,13 +122,13 @@
         {
             return on_request(frame.exchange, std::move(*request));
         }
-        if (auto const* const news = std::get_if<caller_news>(&frame.body))
+        if (auto const* const event = std::get_if<caller_event>(&frame.body))
         {
-            return on_news(frame.exchange, *news);
+            return on_caller_event(frame.exchange, *event);
         }
         if (auto const* const wanted = std::get_if<state::content_ref>(&frame.body))
         {
-            return on_content_wanted(frame.exchange, *wanted);
+            return on_content_request(frame.exchange, *wanted);
         }
     }
 
@@ -135,11 +138,11 @@
         {
             return; // A number is used once at a time.
         }
-        auto port = std::make_shared<relay_port>(link_, exchange,
-                                                 [this](std::uint64_t ended) { leave(ended); });
-        state::caller_handle const caller = server_.home_.enter(std::move(port));
+        auto sink = std::make_shared<relay_answer_sink>(
+            link_, exchange, [this](std::uint64_t ended) { leave(ended); });
+        state::caller_handle const caller = server_.own_worker_.add_caller(std::move(sink));
         std::uint32_t const shard = server_.requests_.receive(
-            {caller, std::move(request), relaying_node()}, server_.home_.index());
+            {caller, std::move(request), relaying_node()}, server_.own_worker_.index());
         relays_[exchange] = {caller, shard};
     }
 
@@ -148,7 +151,7 @@
         return link_->peer();
     }
 
-    void on_news(std::uint64_t exchange, caller_news news)
+    void on_caller_event(std::uint64_t exchange, caller_event event)
     {
         auto const found = relays_.find(exchange);
         if (found == relays_.end())
@@ -156,30 +159,30 @@
             return;
         }
         relay& each = found->second;
-        if (news == caller_news::gone)
+        if (event == caller_event::disconnected)
         {
-            server_.requests_.post(each.shard, coordination::caller_gone{each.caller});
+            server_.requests_.post(each.shard, coordination::caller_disconnected{each.caller});
             return leave(exchange);
         }
-        each.peer_blocked = news == caller_news::blocked;
-        tell(each, each.peer_blocked || link_blocked_);
+        each.peer_blocked = event == caller_event::blocked;
+        post_caller_state(each, each.peer_blocked || link_blocked_);
     }
 
     // The link itself carries too much: every stream on it waits, for those that are read at the
     // other end drain it.
-    void tell_all(bool blocked)
+    void on_link_blocked(bool blocked)
     {
         link_blocked_ = blocked;
         for (auto const& [exchange, each] : relays_)
         {
             if (!each.peer_blocked)
             {
-                tell(each, blocked);
+                post_caller_state(each, blocked);
             }
         }
     }
 
-    void tell(relay const& each, bool blocked)
+    void post_caller_state(relay const& each, bool blocked)
     {
         if (blocked)
         {
@@ -188,9 +191,9 @@
         server_.requests_.post(each.shard, coordination::caller_ready{each.caller});
     }
 
-    void on_content_wanted(std::uint64_t exchange, state::content_ref const& wanted)
+    void on_content_request(std::uint64_t exchange, state::content_ref const& wanted)
     {
-        auto const answer = [weak = weak_from_this(), &context = server_.home_.context(),
+        auto const answer = [weak = weak_from_this(), &context = server_.own_worker_.context(),
                              exchange](protocol::link_content content)
         {
             net::post(context,
@@ -209,7 +212,7 @@
     {
         if (auto const found = relays_.find(exchange); found != relays_.end())
         {
-            server_.home_.leave(found->second.caller);
+            server_.own_worker_.leave(found->second.caller);
             relays_.erase(found);
         }
     }
@@ -218,24 +221,24 @@
     {
         for (auto const& [exchange, each] : relays_)
         {
-            server_.requests_.post(each.shard, coordination::caller_gone{each.caller});
-            server_.home_.leave(each.caller);
+            server_.requests_.post(each.shard, coordination::caller_disconnected{each.caller});
+            server_.own_worker_.leave(each.caller);
         }
         relays_.clear();
-        net::post(server_.home_.context(),
-                  [&server = server_, number = number_] { server.hosts_.erase(number); });
+        net::post(server_.own_worker_.context(), [&server = server_, session_id = session_id_]
+                  { server.sessions_.erase(session_id); });
     }
 
     relay_server& server_;
-    std::uint64_t number_;
+    std::uint64_t session_id_;
     std::shared_ptr<peer_link> link_;
     bool link_blocked_ = false;
     std::unordered_map<std::uint64_t, relay> relays_;
 };
 
-relay_server::relay_server(worker& home, request_sink& requests, content_source& content,
+relay_server::relay_server(worker& own_worker, request_sink& requests, content_source& content,
                            link_settings const& settings)
-    : home_{home}, requests_{requests}, content_{content}, settings_{settings}
+    : own_worker_{own_worker}, requests_{requests}, content_{content}, settings_{settings}
 {
 }
 
@@ -243,8 +246,8 @@
 
 void relay_server::serve(tcp::socket socket)
 {
-    auto const made = std::make_shared<host>(*this, ++next_);
-    hosts_.emplace(next_, made);
+    auto const made = std::make_shared<session>(*this, ++last_session_id_);
+    sessions_.emplace(last_session_id_, made);
     made->start(std::move(socket));
 }
 
--- a/src/transport/relay_server.hpp
+++ b/src/transport/relay_server.hpp
@@ -18,7 +18,7 @@
 class relay_server
 {
 public:
-    relay_server(worker& home, request_sink& requests, content_source& content,
+    relay_server(worker& own_worker, request_sink& requests, content_source& content,
                  link_settings const& settings);
     relay_server(relay_server const&) = delete;
     relay_server& operator=(relay_server const&) = delete;
@@ -28,14 +28,14 @@
     void serve(tcp::socket socket);
 
 private:
-    class host;
+    class session;
 
-    worker& home_;
+    worker& own_worker_;
     request_sink& requests_;
     content_source& content_;
     link_settings settings_;
-    std::uint64_t next_ = 0;
-    std::unordered_map<std::uint64_t, std::shared_ptr<host>> hosts_;
+    std::uint64_t last_session_id_ = 0;
+    std::unordered_map<std::uint64_t, std::shared_ptr<session>> sessions_;
 };
 
 } // namespace plumdale::transport
--- a/src/transport/shard_runner.cpp
+++ b/src/transport/shard_runner.cpp
@@ -15,13 +15,14 @@
 shard_runner::shard_runner(coordination::entry_node& node, std::uint32_t shard,
                            std::span<std::unique_ptr<worker> const> workers,
                            link_settings const& links, state::duration pause_tolerance)
-    : node_{node}, shard_{shard}, workers_{workers}, home_{*workers[shard]},
-      context_{home_.context()}, timer_{context_}, pause_watch_{pause_tolerance, suspension()},
-      fleet_{node.fleet_reader()}, relays_{context_, links,
-                                           [this](coordination::request_event event)
-                                           {
-                                               handle(event);
-                                           }}
+    : node_{node}, shard_{shard}, workers_{workers},
+      own_worker_{*workers[shard]}, context_{own_worker_.context()}, timer_{context_},
+      pause_detector_{pause_tolerance, suspended_time()}, fleet_{node.fleet_reader()},
+      relay_client_{context_, links,
+                    [this](coordination::request_event event)
+                    {
+                        handle(event);
+                    }}
 {
 }
 
@@ -32,57 +33,58 @@
 
 void shard_runner::handle(coordination::request_event const& event)
 {
-    state::duration const gap = pause_watch_.gap(now(), suspension(), armed_);
-    if (gap > state::duration::zero())
+    state::duration const pause_length =
+        pause_detector_.pause_length(now(), suspended_time(), timer_at_);
+    if (pause_length > state::duration::zero())
     {
-        feed(coordination::process_paused{gap});
+        apply_event(coordination::process_paused{pause_length});
     }
-    tell_relay(event);
-    feed(event);
-    arm();
+    forward_to_relay(event);
+    apply_event(event);
+    arm_timer();
 }
 
-void shard_runner::feed(coordination::request_event const& event)
+void shard_runner::apply_event(coordination::request_event const& event)
 {
-    coordination::request_actions actions = std::move(spare_);
+    coordination::request_actions actions = std::move(reusable_actions_);
     actions.clear();
     node_.handle(shard_, event, now(), actions);
     for (coordination::request_action const& action : actions)
     {
         std::visit([this](auto const& each) { carry_out(each); }, action);
     }
-    spare_ = std::move(actions);
+    reusable_actions_ = std::move(actions);
 }
 
 // How a relayed caller reads is passed to the owner, whose engine stream it concerns.
-void shard_runner::tell_relay(coordination::request_event const& event)
+void shard_runner::forward_to_relay(coordination::request_event const& event)
 {
     if (auto const* const blocked = std::get_if<coordination::caller_blocked>(&event))
     {
-        relays_.tell(blocked->caller, protocol::caller_news::blocked);
+        relay_client_.send_event(blocked->caller, protocol::caller_event::blocked);
     }
     else if (auto const* const ready = std::get_if<coordination::caller_ready>(&event))
     {
-        relays_.tell(ready->caller, protocol::caller_news::ready);
+        relay_client_.send_event(ready->caller, protocol::caller_event::ready);
     }
 }
 
 // Most tokens move the next deadline a little further away. The timer is left where it is then, and
 // set anew when it fires too early: one timer operation a deadline, not one a token.
-void shard_runner::arm()
+void shard_runner::arm_timer()
 {
     state::time_point const deadline = node_.next_deadline(shard_);
-    if (is_armed_ && armed_ <= deadline)
+    if (is_timer_armed_ && timer_at_ <= deadline)
     {
         return;
     }
-    armed_ = deadline;
-    is_armed_ = deadline != state::never;
-    if (!is_armed_)
+    timer_at_ = deadline;
+    is_timer_armed_ = deadline != state::never;
+    if (!is_timer_armed_)
     {
         return;
     }
-    timer_.expires_at(steady(deadline));
+    timer_.expires_at(to_steady(deadline));
     timer_.async_wait(
         [this](boost::system::error_code error)
         {
@@ -95,17 +97,17 @@
 
 void shard_runner::on_timer()
 {
-    is_armed_ = false;
+    is_timer_armed_ = false;
     if (now() < node_.next_deadline(shard_))
     {
-        return arm();
+        return arm_timer();
     }
     handle(coordination::deadline_reached{});
 }
 
 void shard_runner::carry_out(coordination::open_stream const& action)
 {
-    ++home_.metrics().counts.streams_opened;
+    ++own_worker_.metrics().counts.streams_opened;
     coordination::upstream_view const* const upstream =
         fleet_.current().find_upstream(action.upstream);
     std::string model = upstream == nullptr ? std::string{} : upstream->info.model_name;
@@ -160,33 +162,33 @@
 
 void shard_runner::carry_out(coordination::relay_request const& action)
 {
-    ++home_.metrics().counts.relays;
-    relays_.relay(action);
+    ++own_worker_.metrics().counts.relays;
+    relay_client_.relay(action);
 }
 
 void shard_runner::carry_out(coordination::close_relay const& action)
 {
-    relays_.close(action.caller);
+    relay_client_.close(action.caller);
 }
 
 template <class Answer>
 void shard_runner::carry_out(Answer const& answer)
 {
-    worker& home = *workers_[answer.caller.value % workers_.size()];
-    if (&home == &home_)
+    worker& caller_worker = *workers_[answer.caller.value % workers_.size()];
+    if (&caller_worker == &own_worker_)
     {
-        if (auto const port = home.find(answer.caller))
+        if (auto const sink = caller_worker.find(answer.caller))
         {
-            port->deliver(answer);
+            sink->deliver(answer);
         }
         return;
     }
-    net::post(home.context(),
-              [&home, answer]
+    net::post(caller_worker.context(),
+              [&caller_worker, answer]
               {
-                  if (auto const port = home.find(answer.caller))
+                  if (auto const sink = caller_worker.find(answer.caller))
                   {
-                      port->deliver(answer);
+                      sink->deliver(answer);
                   }
               });
 }
--- a/src/transport/shard_runner.hpp
+++ b/src/transport/shard_runner.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "engine_stream.hpp"
-#include "pause_watch.hpp"
+#include "pause_detector.hpp"
 #include "relay_client.hpp"
 #include "worker.hpp"
 
@@ -32,9 +32,9 @@
 
 private:
     void handle(coordination::request_event const& event);
-    void feed(coordination::request_event const& event);
-    void tell_relay(coordination::request_event const& event);
-    void arm();
+    void apply_event(coordination::request_event const& event);
+    void forward_to_relay(coordination::request_event const& event);
+    void arm_timer();
     void on_timer();
 
     void carry_out(coordination::open_stream const& action);
@@ -50,15 +50,15 @@
     coordination::entry_node& node_;
     std::uint32_t shard_;
     std::span<std::unique_ptr<worker> const> workers_;
-    worker& home_;
+    worker& own_worker_;
     net::io_context& context_;
     net::steady_timer timer_;
-    state::time_point armed_ = state::never;
-    bool is_armed_ = false;
-    pause_watch pause_watch_;
+    state::time_point timer_at_ = state::never;
+    bool is_timer_armed_ = false;
+    pause_detector pause_detector_;
     coordination::cached_reader<coordination::fleet_snapshot> fleet_;
-    coordination::request_actions spare_;
-    relay_client relays_;
+    coordination::request_actions reusable_actions_;
+    relay_client relay_client_;
     std::unordered_map<state::stream_handle, std::shared_ptr<upstream_stream>> streams_;
 };
 
--- a/src/transport/store_reader.cpp
+++ b/src/transport/store_reader.cpp
@@ -21,7 +21,7 @@
 constexpr unsigned not_found = 404;
 constexpr unsigned gone = 410;
 
-bool is_whole(state::result<fetch_answer> const& answer)
+bool is_success(state::result<fetch_answer> const& answer)
 {
     return answer && answer.value().status == success;
 }
@@ -30,7 +30,7 @@
 void add_page(protocol::store_page& whole, protocol::store_page page)
 {
     whole.revision = whole.revision == 0 ? page.revision : whole.revision;
-    whole.newest = std::max(whole.newest, page.newest);
+    whole.newest_revision = std::max(whole.newest_revision, page.newest_revision);
     whole.next_page = std::move(page.next_page);
     if (!page.configuration.empty())
     {
@@ -41,11 +41,13 @@
 
 // A page that lags tells the store's revision of now with what was true some seconds ago. Taken as
 // of now, it would undo an order that peers told of; the newest thing in it is not too new.
-state::evacuations evacuations_in(protocol::store_page const& page, protocol::store_read kind)
+state::evacuations evacuations_in(protocol::store_page const& page,
+                                  protocol::read_consistency consistency)
 {
     state::evacuations orders;
-    orders.as_of = kind == protocol::store_read::current ? page.revision : page.newest;
-    for (protocol::zone_order const& each : page.orders)
+    orders.as_of =
+        consistency == protocol::read_consistency::current ? page.revision : page.newest_revision;
+    for (protocol::evacuation_order const& each : page.orders)
     {
         orders.in_force.push_back(each.change.order);
     }
@@ -64,7 +66,7 @@
     step();
 }
 
-void store_reader::step_in(state::duration time)
+void store_reader::schedule_step(state::duration time)
 {
     timer_.expires_after(time);
     timer_.async_wait(
@@ -79,20 +81,20 @@
 
 void store_reader::step()
 {
-    if (!core_.informed())
+    if (!core_.can_route())
     {
-        return learn();
+        return bootstrap();
     }
-    bool const reads = core_.fleet.decide_duty(boot_now());
-    note_duty(reads);
-    if (!reads)
+    bool const has_reader_role = core_.fleet.update_reader_role(boot_now());
+    log_role_change(has_reader_role);
+    if (!has_reader_role)
     {
         // What this VM heard of the store gets old; it starts over when it reads again.
         synced_ = false;
         has_configuration_ = false;
-        lost_ = false;
-        core_.reads_store = false;
-        return step_in(duty_check);
+        last_call_failed_ = false;
+        core_.is_active_reader = false;
+        return schedule_step(role_check_interval);
     }
     if (boot_now() >= reread_at_)
     {
@@ -102,34 +104,35 @@
     }
     if (!has_configuration_)
     {
-        return read_operators(protocol::store_read::current, {});
+        return read_operator_entries(protocol::read_consistency::current, {});
     }
-    synced_ ? watch() : read_list(protocol::store_read::current, {});
+    synced_ ? watch() : read_list(protocol::read_consistency::current, {});
 }
 
 // All of a fleet that lost power start together. What may lag is enough to serve by, costs a tenth,
 // and what came since is heard from the readers.
-void store_reader::learn()
+void store_reader::bootstrap()
 {
     bool const asks_first = core_.is_seed && !is_published_;
-    protocol::store_read const kind =
-        asks_first ? protocol::store_read::current : protocol::store_read::may_lag;
-    core_.version() == 0 ? read_operators(kind, {}) : read_list(kind, {});
+    protocol::read_consistency const consistency =
+        asks_first ? protocol::read_consistency::current : protocol::read_consistency::allow_stale;
+    core_.version() == 0 ? read_operator_entries(consistency, {}) : read_list(consistency, {});
 }
 
-void store_reader::not_published()
+void store_reader::retry_unpublished()
 {
     is_published_ = false;
-    step_in(core_.is_seed ? unpublished_retry : spread(unpublished_patience));
+    schedule_step(core_.is_seed ? unpublished_seed_retry_delay
+                                : spread(unpublished_peer_retry_delay));
 }
 
-void store_reader::note_duty(bool reads)
+void store_reader::log_role_change(bool has_reader_role)
 {
-    if (reads != reads_)
+    if (has_reader_role != had_reader_role_)
     {
-        reads_ = reads;
-        core_.log.write(part, reads ? "reading" : "hearing from peers", {},
-                        {{"live", static_cast<std::int64_t>(core_.fleet.live(boot_now()))},
+        had_reader_role_ = has_reader_role;
+        core_.log.write(part, has_reader_role ? "reading" : "hearing from peers", {},
+                        {{"live", static_cast<std::int64_t>(core_.fleet.live_count(boot_now()))},
                          {"last_read_ms_ago", whole_milliseconds(boot_now() - last_read_)}});
     }
 }
@@ -153,7 +156,7 @@
 {
     call(std::move(target), timeout,
          [this, handler = std::move(handler)](state::result<fetch_answer> const& answer)
-         { std::exchange(starts_over_, false) ? step() : handler(answer); });
+         { std::exchange(restart_pending_, false) ? step() : handler(answer); });
 }
 
 // Its revisions are given out again, so a watch that goes on would miss what was written between;
@@ -161,27 +164,29 @@
 void store_reader::note_era(state::result<fetch_answer> const& answer)
 {
     auto const era = answer ? core_.dialect.read_era(answer.value().fields) : std::nullopt;
-    if (!era || !history_.begins_era(*era))
+    if (!era || !position_tracker_.advance_era(*era))
     {
         return;
     }
-    core_.log.write(
-        part, "came back from a copy", {},
-        {{"era", static_cast<std::int64_t>(*era)}, {"after", static_cast<std::int64_t>(after_)}});
+    core_.log.write(part, "came back from a copy", {},
+                    {{"era", static_cast<std::int64_t>(*era)},
+                     {"after", static_cast<std::int64_t>(watch_revision_)}});
     synced_ = false;
     has_configuration_ = false;
-    starts_over_ = true;
-    reread_at_ = boot_now() + rewriting;
-    core_.directory.platform_returned(boot_now());
+    restart_pending_ = true;
+    reread_at_ = boot_now() + rewrite_time;
+    core_.directory.platform_recovered(boot_now());
 }
 
-void store_reader::place(protocol::store_page& page, protocol::store_read kind)
+void store_reader::assign_positions(protocol::store_page& page,
+                                    protocol::read_consistency consistency)
 {
-    using protocol::store_read;
-    auto const placed = [this, kind](std::uint64_t revision)
+    using protocol::read_consistency;
+    auto const placed = [this, consistency](std::uint64_t revision)
     {
-        return kind == store_read::current ? history_.position_of(revision)
-                                           : history_.lagging(revision);
+        return consistency == read_consistency::current
+                   ? position_tracker_.position_of(revision)
+                   : position_tracker_.lagging_position(revision);
     };
     for (state::service_member& member : page.members)
     {
@@ -191,60 +196,63 @@
     {
         entry.revision = placed(entry.revision);
     }
-    for (protocol::zone_order& order : page.orders)
+    for (protocol::evacuation_order& order : page.orders)
     {
         order.change.order.revision = placed(order.change.order.revision);
     }
-    page.revision = kind == store_read::current ? history_.present(page.revision)
-                                                : history_.lagging(page.revision);
-    page.newest = placed(page.newest);
+    page.revision = consistency == read_consistency::current
+                        ? position_tracker_.current_position(page.revision)
+                        : position_tracker_.lagging_position(page.revision);
+    page.newest_revision = placed(page.newest_revision);
 }
 
-state::result<protocol::store_page> store_reader::page_in(state::result<fetch_answer> const& answer,
-                                                          protocol::store_read kind)
+state::result<protocol::store_page>
+store_reader::parse_page(state::result<fetch_answer> const& answer,
+                         protocol::read_consistency consistency)
 {
-    if (!is_whole(answer))
+    if (!is_success(answer))
     {
         return state::failure{};
     }
     auto page = core_.dialect.read_list(answer.value().body);
     if (page)
     {
-        if (kind == protocol::store_read::current)
+        if (consistency == protocol::read_consistency::current)
         {
-            history_.note_read(page.value().revision);
+            position_tracker_.observe_revision(page.value().revision);
         }
-        place(page.value(), kind);
+        assign_positions(page.value(), consistency);
     }
     return page;
 }
 
-void store_reader::succeeded(protocol::store_read kind)
+void store_reader::succeeded(protocol::read_consistency consistency)
 {
     state::time_point const now = boot_now();
-    retry_ = first_retry;
-    if (kind == protocol::store_read::may_lag)
+    retry_delay_ = initial_retry_delay;
+    if (consistency == protocol::read_consistency::allow_stale)
     {
-        lost_ = false;
+        last_call_failed_ = false;
         return;
     }
-    if (lost_)
+    if (last_call_failed_)
     {
-        state::time_point const last_known = std::max(last_read_, core_.fleet.platform_read(now));
-        bool const may_have_lapsed = now - last_known > lapse_outage;
+        state::time_point const last_known =
+            std::max(last_read_, core_.fleet.last_platform_read(now));
+        bool const may_have_lapsed = now - last_known > expiry_outage;
         core_.log.write(part, "regained", {},
                         {{"outage_ms", whole_milliseconds(now - last_read_)},
                          {"fleet_outage_ms", whole_milliseconds(now - last_known)}});
         if (may_have_lapsed)
         {
-            core_.directory.platform_returned(now);
+            core_.directory.platform_recovered(now);
         }
-        lost_ = false;
+        last_call_failed_ = false;
     }
     last_read_ = now;
-    core_.platform_read = now;
+    core_.last_platform_read = now;
     ++core_.store_reads;
-    core_.reads_store = core_.fleet.is_reader();
+    core_.is_active_reader = core_.fleet.is_reader();
 }
 
 state::duration store_reader::spread(state::duration time)
@@ -253,118 +261,123 @@
     return state::duration{of(core_.random)};
 }
 
-std::size_t store_reader::others_asking() const
+std::size_t store_reader::other_requesters() const
 {
     state::time_point const now = boot_now();
-    return core_.informed() ? core_.fleet.lost_peers(now) : core_.fleet.live(now) - 1;
+    return core_.can_route() ? core_.fleet.peers_without_store(now)
+                             : core_.fleet.live_count(now) - 1;
 }
 
 void store_reader::failed(std::string_view what, state::result<fetch_answer> const& answer)
 {
     core_.metrics.add(forward_count::platform_failures);
-    if (!lost_)
+    if (!last_call_failed_)
     {
-        lost_ = true;
+        last_call_failed_ = true;
         core_.log.write(
             part, "lost", {},
             {{"call", what},
              {"detail", answer ? std::to_string(answer.value().status) : answer.error().detail}});
     }
-    step_in(spread(retry_));
-    auto const sharing =
-        static_cast<std::int64_t>(std::max<std::size_t>(1, others_asking() / askers));
-    retry_ = std::min({retry_ * 2, longest_retry * sharing, longest_shared_retry});
+    schedule_step(spread(retry_delay_));
+    auto const sharing = static_cast<std::int64_t>(
+        std::max<std::size_t>(1, other_requesters() / max_full_rate_requesters));
+    retry_delay_ = std::min({retry_delay_ * 2, max_retry_delay * sharing, max_shared_retry_delay});
 }
 
-void store_reader::read_operators(protocol::store_read kind, std::string const& page)
+void store_reader::read_operator_entries(protocol::read_consistency consistency,
+                                         std::string const& page)
 {
     if (page.empty())
     {
-        operators_ = {};
+        operator_entries_ = {};
     }
-    read(core_.dialect.operators_target(kind, page), answer_time,
-         [this, kind](state::result<fetch_answer> const& answer)
+    read(core_.dialect.operator_entries_target(consistency, page), answer_timeout,
+         [this, consistency](state::result<fetch_answer> const& answer)
          {
              if (answer && answer.value().status == not_found)
              {
-                 return not_published();
+                 return retry_unpublished();
              }
-             auto answered = page_in(answer, kind);
+             auto answered = parse_page(answer, consistency);
              if (!answered)
              {
                  return failed("configuration", answer);
              }
-             succeeded(kind);
-             add_page(operators_, std::move(answered).value());
-             operators_.next_page.empty() ? take_operators(kind)
-                                          : read_operators(kind, operators_.next_page);
+             succeeded(consistency);
+             add_page(operator_entries_, std::move(answered).value());
+             operator_entries_.next_page.empty()
+                 ? apply_operator_entries(consistency)
+                 : read_operator_entries(consistency, operator_entries_.next_page);
          });
 }
 
-void store_reader::take_operators(protocol::store_read kind)
+void store_reader::apply_operator_entries(protocol::read_consistency consistency)
 {
-    if (operators_.configuration.empty())
+    if (operator_entries_.configuration.empty())
     {
-        return not_published();
+        return retry_unpublished();
     }
-    core_.take_evacuations(evacuations_in(operators_, kind), part);
-    if (kind == protocol::store_read::current)
+    core_.apply_evacuations(evacuations_in(operator_entries_, consistency), part);
+    if (consistency == protocol::read_consistency::current)
     {
-        has_configuration_ = core_.informed();
-        after_ = state::revision_in(operators_.revision);
+        has_configuration_ = core_.can_route();
+        watch_revision_ = state::revision_in(operator_entries_.revision);
     }
-    bool const is_newer = core_.take_configuration(std::move(operators_.configuration), part);
-    if (is_newer && kind == protocol::store_read::current)
+    bool const is_newer =
+        core_.apply_configuration(std::move(operator_entries_.configuration), part);
+    if (is_newer && consistency == protocol::read_consistency::current)
     {
-        core_.configuration_read();
+        core_.on_configuration_read();
     }
     step();
 }
 
-void store_reader::read_once(std::function<void()> otherwise)
+void store_reader::read_once(std::function<void()> on_not_newer)
 {
     if (std::exchange(reading_once_, true))
     {
         return;
     }
     auto const timer = std::make_shared<net::steady_timer>(core_.context);
-    std::uniform_int_distribution<std::int64_t> spread{0, read_once_spread.count()};
+    std::uniform_int_distribution<std::int64_t> spread{0, read_once_jitter.count()};
     timer->expires_after(state::duration{spread(core_.random)});
     timer->async_wait(
-        [this, timer, otherwise = std::move(otherwise)](boost::system::error_code error)
+        [this, timer, on_not_newer = std::move(on_not_newer)](boost::system::error_code error)
         {
             if (!error)
             {
-                read_newer(protocol::store_read::may_lag, otherwise);
+                read_newer(protocol::read_consistency::allow_stale, on_not_newer);
             }
         });
 }
 
 // A read that may lag costs a tenth, and nearly always has what a peer already follows.
-void store_reader::read_newer(protocol::store_read kind, std::function<void()> const& otherwise)
+void store_reader::read_newer(protocol::read_consistency consistency,
+                              std::function<void()> const& on_not_newer)
 {
-    call(core_.dialect.operators_target(kind, {}), answer_time,
-         [this, kind, otherwise](state::result<fetch_answer> const& answer)
+    call(core_.dialect.operator_entries_target(consistency, {}), answer_timeout,
+         [this, consistency, on_not_newer](state::result<fetch_answer> const& answer)
          {
-             auto const page = is_whole(answer)
+             auto const page = is_success(answer)
                                    ? core_.dialect.read_list(answer.value().body)
                                    : state::result<protocol::store_page>{state::failure{}};
              bool const is_newer =
-                 page && core_.take_configuration(page.value().configuration, part);
-             if (!is_newer && page && kind == protocol::store_read::may_lag)
+                 page && core_.apply_configuration(page.value().configuration, part);
+             if (!is_newer && page && consistency == protocol::read_consistency::allow_stale)
              {
-                 return read_newer(protocol::store_read::current, otherwise);
+                 return read_newer(protocol::read_consistency::current, on_not_newer);
              }
              reading_once_ = false;
              if (!is_newer)
              {
                  core_.metrics.add(forward_count::platform_failures);
-                 otherwise();
+                 on_not_newer();
              }
          });
 }
 
-void store_reader::read_list(protocol::store_read kind, std::string const& page)
+void store_reader::read_list(protocol::read_consistency consistency, std::string const& page)
 {
     if (page.empty())
     {
@@ -372,15 +385,15 @@
         unusable_.clear();
         list_revision_ = 0;
     }
-    read(core_.dialect.list_target(kind, page), answer_time,
-         [this, kind](state::result<fetch_answer> const& answer)
+    read(core_.dialect.member_list_target(consistency, page), answer_timeout,
+         [this, consistency](state::result<fetch_answer> const& answer)
          {
-             auto const answered = page_in(answer, kind);
+             auto const answered = parse_page(answer, consistency);
              if (!answered)
              {
                  return failed("list", answer);
              }
-             succeeded(kind);
+             succeeded(consistency);
              protocol::store_page const& read = answered.value();
              // Pages are not one snapshot: changes since the first are heard from the watch.
              list_revision_ = list_revision_ == 0 ? read.revision : list_revision_;
@@ -388,70 +401,70 @@
              unusable_.insert(unusable_.end(), read.unusable.begin(), read.unusable.end());
              if (!read.next_page.empty())
              {
-                 return read_list(kind, read.next_page);
+                 return read_list(consistency, read.next_page);
              }
-             take_list(kind);
+             apply_list(consistency);
          });
 }
 
-void store_reader::take_list(protocol::store_read kind)
+void store_reader::apply_list(protocol::read_consistency consistency)
 {
-    std::size_t const untold = core_.untold.size();
+    std::size_t const unreported = core_.unreported.size();
     // What a store that came back from a copy lacks may be written again; what it still lacks when
     // it is read once more is gone.
     bool const is_complete = reread_at_ == state::never;
-    core_.take_list(listed_, unusable_, is_complete ? list_revision_ : 0, part);
-    if (kind == protocol::store_read::may_lag)
+    core_.apply_list(listed_, unusable_, is_complete ? list_revision_ : 0, part);
+    if (consistency == protocol::read_consistency::allow_stale)
     {
-        auto const begin = core_.untold.begin() + static_cast<std::ptrdiff_t>(untold);
-        core_.untold_of_start.assign(begin, core_.untold.end());
-        core_.untold.resize(untold);
+        auto const begin = core_.unreported.begin() + static_cast<std::ptrdiff_t>(unreported);
+        core_.unreported_at_start.assign(begin, core_.unreported.end());
+        core_.unreported.resize(unreported);
     }
-    if (kind == protocol::store_read::current)
+    if (consistency == protocol::read_consistency::current)
     {
         synced_ = true;
         // The configuration was read first; what came between is heard from the watch.
-        after_ = std::min(after_, state::revision_in(list_revision_));
+        watch_revision_ = std::min(watch_revision_, state::revision_in(list_revision_));
     }
     step();
 }
 
 void store_reader::watch()
 {
-    read(core_.dialect.watch_target(after_, watch_wait), watch_wait + answer_time,
+    read(core_.dialect.watch_target(watch_revision_, watch_wait), watch_wait + answer_timeout,
          [this](state::result<fetch_answer> const& answer)
          {
              if (answer && answer.value().status == gone)
              {
                  core_.log.write(part, "history dropped", {},
-                                 {{"after", static_cast<std::int64_t>(after_)}});
+                                 {{"after", static_cast<std::int64_t>(watch_revision_)}});
                  synced_ = false;
                  has_configuration_ = false;
                  return step();
              }
-             auto page = is_whole(answer) ? core_.dialect.read_changes(answer.value().body)
-                                          : state::result<protocol::store_page>{state::failure{}};
+             auto page = is_success(answer) ? core_.dialect.read_changes(answer.value().body)
+                                            : state::result<protocol::store_page>{state::failure{}};
              if (!page)
              {
                  return failed("watch", answer);
              }
-             succeeded(protocol::store_read::current);
-             after_ = std::max(after_, page.value().revision);
-             place(page.value(), protocol::store_read::current);
+             succeeded(protocol::read_consistency::current);
+             watch_revision_ = std::max(watch_revision_, page.value().revision);
+             assign_positions(page.value(), protocol::read_consistency::current);
              bool const is_newer = !page.value().configuration.empty() &&
-                                   core_.take_configuration(page.value().configuration, part);
+                                   core_.apply_configuration(page.value().configuration, part);
              if (is_newer)
              {
-                 core_.configuration_read();
+                 core_.on_configuration_read();
              }
-             core_.follow_evacuations(page.value().orders, page.value().revision, part);
+             core_.apply_evacuation_changes(page.value().orders, page.value().revision, part);
              if (!page.value().orders.empty())
              {
-                 core_.evacuations_read();
+                 core_.on_evacuations_read();
              }
-             core_.take_members(page.value().members, part);
-             core_.take_unusable(page.value().unusable, part);
-             step_in(watch_pause);
+             core_.apply_members(page.value().members, part);
+             core_.apply_unusable_entries(page.value().unusable, part);
+             schedule_step(watch_pause);
          });
 }
 
--- a/src/transport/stream_call.cpp
+++ b/src/transport/stream_call.cpp
@@ -27,61 +27,62 @@
     : forward_call{core, std::move(channel), std::move(admitted)}, last_progress_{
                                                                        admitted_.call.read_at}
 {
-    core_.departures.listen(*this);
+    core_.departures.add_listener(*this);
 }
 
 stream_call::~stream_call()
 {
-    core_.departures.forget(*this);
+    core_.departures.remove_listener(*this);
     drop_backup();
     drop_load(copy_load_);
 }
 
-protocol::onward_terms stream_call::onward(state::time_point now) const
+protocol::system_headers stream_call::make_system_headers(state::time_point now) const
 {
-    protocol::onward_terms terms = forward_call::onward(now);
+    protocol::system_headers terms = forward_call::make_system_headers(now);
     constexpr std::uint32_t least_urgent = 9;
     std::uint32_t const rank = admitted_.customer != nullptr && admitted_.customer->priority
                                    ? *admitted_.customer->priority
                                    : admitted_.route->priority;
     terms.priority = std::min(rank, least_urgent);
-    terms.resumed = resumed_;
+    terms.resumed = resume_from_;
     terms.backup = backup_address_;
     return terms;
 }
 
-generation_claim stream_call::claim(state::time_point now) const
+admission_request stream_call::make_admission_request(state::time_point now) const
 {
     return {admitted_.demand.output_tokens,
-            admitted_.returns,
+            admitted_.is_retry,
             now - admitted_.call.read_at,
             admitted_.route->target_latency,
-            patience(),
-            member_choice::own_first_event(admitted_.demand)};
+            silence_timeout(),
+            upstream_selector::min_time_to_first_event(admitted_.demand)};
 }
 
-admission_limit stream_call::limit_for(chosen_member const& best, state::time_point now) const
+admission_limit stream_call::limit_for(selected_upstream const& best, state::time_point now) const
 {
     if (!admitted_.service->engine)
     {
         return admission_limit::none;
     }
-    generation_claim const asks = claim(now);
+    admission_request const asks = make_admission_request(now);
     // The mean walks all upstreams; only those that yield depend on it.
-    double const mean =
-        yields_to_fresh(asks) ? core_.choice.mean_fullness(*admitted_.service, now) : 0.0;
-    return coordination::limit_for(asks, {best.fullness, mean, best.first_event});
+    double const mean = yields_to_first_attempts(asks)
+                            ? core_.selector.mean_fullness(*admitted_.service, now)
+                            : 0.0;
+    return coordination::limit_for(asks, {best.fullness, mean, best.time_to_first_event});
 }
 
 state::duration stream_call::longest_wait() const
 {
-    return coordination::longest_wait(claim(admitted_.call.read_at));
+    return coordination::longest_wait(make_admission_request(admitted_.call.read_at));
 }
 
-state::duration stream_call::come_back()
+state::duration stream_call::retry_after()
 {
     std::uniform_real_distribution<double> draw{0.0, 1.0};
-    return come_back_after(admitted_.deadline - boot_now(), draw(core_.random));
+    return draw_retry_after(admitted_.deadline - boot_now(), draw(core_.random));
 }
 
 // -- events ---------------------------------------------------------------------------------------
@@ -92,7 +93,7 @@
     forward_call::on_head(head, framing);
     failure_body_.clear();
     bool const is_own = answer_.id.empty() || answer_.id == admitted_.terms.id;
-    streaming_ = head.status == success && answer_.sealed && !answer_.encoded && is_own;
+    streaming_ = head.status == success && answer_.is_signed && !answer_.encoded && is_own;
     if (begun_)
     {
         // The caller has the first upstream's head; a resumption brings only events.
@@ -108,21 +109,21 @@
         return;
     }
     events_.append(bytes);
-    pass_events();
+    forward_events();
 }
 
-void stream_call::pass_events()
+void stream_call::forward_events()
 {
     std::string passed;
     while (auto event = events_.next())
     {
         // After a resumption an upstream may repeat what the caller has.
-        if (event->id && *event->id <= last_event_ && begun_)
+        if (event->id && *event->id <= last_event_id_ && begun_)
         {
             continue;
         }
-        last_event_ = event->id.value_or(last_event_ + 1);
-        ++events_passed_;
+        last_event_id_ = event->id.value_or(last_event_id_ + 1);
+        ++events_forwarded_;
         passed += event->text;
     }
     if (passed.empty())
@@ -143,47 +144,47 @@
     {
         resuming_ = false;
         core_.metrics.add(forward_count::resumed);
-        core_.metrics.moved(now - last_progress_);
+        core_.metrics.record_move_pause(now - last_progress_);
         core_.log.write("call", "resumed", admitted_.terms.id,
                         {{"upstream", member_name()},
                          {"pause_ms", whole_milliseconds(now - last_progress_)},
-                         {"after_event", static_cast<std::int64_t>(last_event_)}});
-        survival_->resumed(now);
+                         {"after_event", static_cast<std::int64_t>(last_event_id_)}});
+        failover_->resumed(now);
     }
     if (is_first_of_run)
     {
         run_began_at_ = now;
-        prompt_read();
+        clear_pending_prefill();
         note_backup();
     }
     last_progress_ = now;
     begin_answer();
-    channel_->send_part(passed);
+    channel_->send_chunk(passed);
     if (channel_->is_full())
     {
         exchange_->pause(true);
     }
-    grow();
+    update_loads();
     if (is_first_of_run)
     {
-        watch_departure();
+        check_departure();
     }
 }
 
 // A resumption reads only what its copy lacks.
-std::uint32_t stream_call::unread() const
+std::uint32_t stream_call::pending_prefill_tokens() const
 {
-    return resumed_ ? 0 : admitted_.demand.prompt_tokens;
+    return resume_from_ ? 0 : admitted_.demand.prompt_tokens;
 }
 
-void stream_call::prompt_read()
+void stream_call::clear_pending_prefill()
 {
-    if (load_.unread != 0)
+    if (load_.pending_prefill_tokens != 0)
     {
         core_.ledger.remove(load_.member, load_);
-        load_.unread = 0;
+        load_.pending_prefill_tokens = 0;
         core_.ledger.add(load_.member, load_);
-        tell_load(load_.member);
+        announce_load(load_.member);
     }
 }
 
@@ -191,7 +192,7 @@
 {
     std::uint32_t const per_event =
         admitted_.service->engine ? admitted_.service->engine->tokens_per_event : 1;
-    return admitted_.demand.prompt_tokens + events_passed_ * per_event;
+    return admitted_.demand.prompt_tokens + events_forwarded_ * per_event;
 }
 
 void stream_call::begin_answer()
@@ -204,10 +205,10 @@
     }
 }
 
-void stream_call::grow()
+void stream_call::update_loads()
 {
     std::uint32_t const tokens = tokens_held();
-    bool const is_due = events_passed_ % events_per_update == 0;
+    bool const is_due = events_forwarded_ % events_per_update == 0;
     for (member_load* const load : {&load_, &backup_load_})
     {
         if (is_due && load->calls != 0)
@@ -220,7 +221,7 @@
     }
 }
 
-void stream_call::caller_ready()
+void stream_call::on_caller_ready()
 {
     if (exchange_ != nullptr)
     {
@@ -243,17 +244,17 @@
         return begun_ ? answer_ended(end) : forward_call::exchange_ended(end);
     }
     state::time_point const now = boot_now();
-    survival_actions actions;
+    failover_actions actions;
     if (end == exchange_end::whole && streaming_)
     {
-        return end_whole();
+        return complete_stream();
     }
     bool const not_run = end == exchange_end::unreachable || end == exchange_end::not_sent ||
                          (end == exchange_end::whole && (answer_.not_run || answer_.misdirected));
     core_.metrics.add(forward_count::resume_refused);
     log("resumption failed", not_run ? "not run" : "broke");
     close_exchange();
-    not_run ? survival_->resume_refused(now, actions) : survival_->source_ended(now, actions);
+    not_run ? failover_->resume_refused(now, actions) : failover_->source_ended(now, actions);
     apply(actions);
 }
 
@@ -261,7 +262,7 @@
 {
     if (end == exchange_end::whole && streaming_)
     {
-        return end_whole();
+        return complete_stream();
     }
     if (end == exchange_end::whole && !begun_ && head_.status != success)
     {
@@ -277,17 +278,17 @@
                                                   : "connection broke");
 }
 
-void stream_call::end_whole()
+void stream_call::complete_stream()
 {
     core_.health.note(member_, call_result::good, boot_now());
     core_.metrics.add(forward_count::streams_whole);
     begin_answer();
     log_timing();
     note_outcome(is_on_time() ? call_outcome::on_time : call_outcome::late);
-    survival_actions actions;
-    if (survival_)
+    failover_actions actions;
+    if (failover_)
     {
-        survival_->finished(actions);
+        failover_->finished(actions);
     }
     apply(actions);
     auto const channel = channel_;
@@ -316,13 +317,13 @@
          {"longest_gap_ms", whole_milliseconds(longest_gap_)},
          {"gap_objective_ms", whole_milliseconds(admitted_.route->target_gap)},
          {"on_time", is_on_time() ? 1 : 0},
-         {"events", events_passed_},
-         {"comes_back", admitted_.returns ? 1 : 0},
+         {"events", events_forwarded_},
+         {"comes_back", admitted_.is_retry ? 1 : 0},
          {"hinted_tokens", admitted_.demand.output_tokens},
          {"prompt_tokens", admitted_.demand.prompt_tokens},
          {"fullness_percent", static_cast<std::int64_t>(100.0 * best_.fullness)},
-         {"expected_first_event_ms", whole_milliseconds(best_.first_event)},
-         {"sent_after_ms", whole_milliseconds(first_send_at_ - admitted_.call.read_at)},
+         {"expected_first_event_ms", whole_milliseconds(best_.time_to_first_event)},
+         {"sent_after_ms", whole_milliseconds(first_sent_at_ - admitted_.call.read_at)},
          {"age_ms", whole_milliseconds(boot_now() - admitted_.call.read_at)}});
 }
 
@@ -330,16 +331,16 @@
 {
     log("source ended", why);
     close_exchange();
-    survival_actions actions;
-    survival().source_ended(boot_now(), actions);
+    failover_actions actions;
+    failover().source_ended(boot_now(), actions);
     apply(actions);
 }
 
-void stream_call::break_off(std::string_view why)
+void stream_call::abort_answer(std::string_view why)
 {
     if (!begun_)
     {
-        ++runs_;
+        ++possible_runs_;
         return refuse(state::error_kind::may_have_run, why);
     }
     log("broken off", why);
@@ -347,45 +348,45 @@
     core_.metrics.add(forward_count::streams_broken);
     auto const channel = channel_;
     finish();
-    channel->break_off();
+    channel->abort_answer();
 }
 
-void stream_call::caller_left()
+void stream_call::on_caller_disconnected()
 {
-    survival_actions actions;
-    if (survival_)
+    failover_actions actions;
+    if (failover_)
     {
-        survival_->finished(actions);
+        failover_->finished(actions);
     }
     apply(actions);
-    forward_call::caller_left();
+    forward_call::on_caller_disconnected();
 }
 
 // -- time -----------------------------------------------------------------------------------------
 
-state::duration stream_call::patience() const
+state::duration stream_call::silence_timeout() const
 {
-    return std::max({least_patience,
-                     state::duration{patience_objectives * admitted_.route->target_latency},
-                     state::duration{patience_gaps * admitted_.route->target_gap}});
+    return std::max({min_silence_timeout,
+                     state::duration{silence_timeout_objectives * admitted_.route->target_latency},
+                     state::duration{silence_timeout_gaps * admitted_.route->target_gap}});
 }
 
 state::time_point stream_call::next_deadline() const
 {
-    state::time_point const copies = survival_ ? survival_->next_deadline() : state::never;
-    return std::min({forward_call::next_deadline(), copies, last_progress_ + patience()});
+    state::time_point const copies = failover_ ? failover_->next_deadline() : state::never;
+    return std::min({forward_call::next_deadline(), copies, last_progress_ + silence_timeout()});
 }
 
 void stream_call::on_timer(state::time_point now)
 {
-    if (now >= last_progress_ + patience())
+    if (now >= last_progress_ + silence_timeout())
     {
-        return time_over();
+        return on_timeout();
     }
-    if (survival_)
+    if (failover_)
     {
-        survival_actions actions;
-        survival_->advance(now, actions);
+        failover_actions actions;
+        failover_->advance(now, actions);
         apply(actions);
     }
     if (!finished_)
@@ -394,12 +395,12 @@
     }
 }
 
-void stream_call::time_over()
+void stream_call::on_timeout()
 {
     bool const sent = may_have_run() || (exchange_ != nullptr && exchange_->sent());
     if (sent || begun_)
     {
-        return break_off("time is over");
+        return abort_answer("time is over");
     }
     refuse(state::error_kind::overloaded, "time is over");
 }
--- a/src/transport/stream_call.hpp
+++ b/src/transport/stream_call.hpp
@@ -3,7 +3,7 @@
 #include "forward_call.hpp"
 
 #include <plumdale/coordination/generation_admission.hpp>
-#include <plumdale/coordination/generation_survival.hpp>
+#include <plumdale/coordination/generation_failover.hpp>
 #include <plumdale/protocol/raw_event_splitter.hpp>
 
 #include <cstdint>
@@ -27,82 +27,84 @@
 
     void on_head(protocol::message_head const& head, protocol::body_framing framing) override;
     void on_body(std::string bytes) override;
-    void caller_ready() override;
-    void caller_left() override;
-    void member_leaves(state::member_key member, coordination::departure const& when) override;
-    void member_lost(state::member_key member) override;
-    void zone_evacuated(state::zone_id zone) override;
+    void on_caller_ready() override;
+    void on_caller_disconnected() override;
+    void on_member_leaving(state::member_key member, coordination::departure const& when) override;
+    void on_member_restarted(state::member_key member) override;
+    void on_zone_evacuated(state::zone_id zone) override;
 
     /// \brief Events after which the load told to peers is brought up to date.
     static constexpr std::uint32_t events_per_update = 16;
     /// \brief Time of one token until this generation's own is known: a step takes 7 ms and 0.12 ms
     /// for each other one, and prompts are read in between.
-    static constexpr state::duration usual_token_time = std::chrono::milliseconds{12};
+    static constexpr state::duration default_token_time = std::chrono::milliseconds{12};
     /// \brief Added to a destination in another zone: a copy across takes twice the link's time,
     /// and some eight leave an upstream one after another within one notice. Another zone is taken
     /// where the own one has no room.
-    static constexpr double far_destination = 1.0;
+    static constexpr double other_zone_destination_penalty = 1.0;
     /// \brief Callers give a stream up after a silence of this long at least, four objectives or
     /// eight allowed pauses; work beyond that is for nobody.
-    static constexpr state::duration least_patience = std::chrono::seconds{2};
-    static constexpr int patience_objectives = 4;
-    static constexpr int patience_gaps = 8;
+    static constexpr state::duration min_silence_timeout = std::chrono::seconds{2};
+    static constexpr int silence_timeout_objectives = 4;
+    static constexpr int silence_timeout_gaps = 8;
 
 private:
-    [[nodiscard]] protocol::onward_terms onward(state::time_point now) const override;
-    [[nodiscard]] coordination::admission_limit limit_for(coordination::chosen_member const& best,
-                                                          state::time_point now) const override;
+    [[nodiscard]] protocol::system_headers
+    make_system_headers(state::time_point now) const override;
+    [[nodiscard]] coordination::admission_limit
+    limit_for(coordination::selected_upstream const& best, state::time_point now) const override;
     [[nodiscard]] state::duration longest_wait() const override;
-    [[nodiscard]] coordination::generation_claim claim(state::time_point now) const;
-    [[nodiscard]] state::duration come_back() override;
+    [[nodiscard]] coordination::admission_request
+    make_admission_request(state::time_point now) const;
+    [[nodiscard]] state::duration retry_after() override;
     void exchange_ended(exchange_end end) override;
     [[nodiscard]] std::optional<state::time_point> runs_since() const override;
     void answer_ended(exchange_end end) override;
-    void time_over() override;
+    void on_timeout() override;
     void on_timer(state::time_point now) override;
     [[nodiscard]] state::time_point next_deadline() const override;
 
-    [[nodiscard]] bool goes_on() const override
+    [[nodiscard]] bool is_resumption() const override
     {
-        return resumed_.has_value();
+        return resume_from_.has_value();
     }
     [[nodiscard]] std::uint32_t tokens_held() const override;
-    [[nodiscard]] std::uint32_t unread() const override;
-    void prompt_read();
+    [[nodiscard]] std::uint32_t pending_prefill_tokens() const override;
+    void clear_pending_prefill();
     std::optional<std::string> request() override;
 
     void choose_backup();
     void note_backup();
     void drop_backup();
-    void keeper_leaves(state::member_key member);
+    void on_backup_leaving(state::member_key member);
     [[nodiscard]] bool is_on_time() const;
     void log_timing();
-    void hold_copy(state::member_key destination);
-    [[nodiscard]] coordination::generation_survival& survival();
-    [[nodiscard]] state::duration expected_left(state::time_point now) const;
-    void pass_events();
+    void reserve_for_copy(state::member_key destination);
+    [[nodiscard]] coordination::generation_failover& failover();
+    [[nodiscard]] state::duration expected_remaining_time(state::time_point now) const;
+    void forward_events();
     void begin_answer();
-    void grow();
-    void end_whole();
+    void update_loads();
+    void complete_stream();
     void source_ended(std::string_view why);
-    void apply(coordination::survival_actions const& actions);
+    void apply(coordination::failover_actions const& actions);
     void carry_out(coordination::order_copy const& action);
     void carry_out(coordination::resume_generation const& action);
     void carry_out(coordination::release_copy const& action);
     void carry_out(coordination::abandon_generation const& action);
     void on_copy_answer(bool last, state::result<fetch_answer> const& answer);
-    void break_off(std::string_view why);
-    void watch_departure();
+    void abort_answer(std::string_view why);
+    void check_departure();
     [[nodiscard]] std::optional<state::member_key>
     choose_destination(state::member_key source, std::span<state::member_key const> excluded);
-    [[nodiscard]] state::duration patience() const;
+    [[nodiscard]] state::duration silence_timeout() const;
 
-    std::optional<coordination::generation_survival> survival_;
-    std::optional<protocol::continuation> resumed_;
+    std::optional<coordination::generation_failover> failover_;
+    std::optional<protocol::resume_point> resume_from_;
     protocol::raw_event_splitter events_;
     std::string failure_body_;
-    std::uint64_t last_event_ = 0;
-    std::uint32_t events_passed_ = 0;
+    std::uint64_t last_event_id_ = 0;
+    std::uint32_t events_forwarded_ = 0;
     state::time_point last_progress_{};
     /// \brief Memory held for the backup, at the upstream that keeps it.
     coordination::member_load backup_load_;
--- a/src/transport/stream_survival.cpp
+++ b/src/transport/stream_failover.cpp
@@ -40,7 +40,7 @@
     case conflict:
         return copy_refusal::in_progress;
     case unavailable:
-        return copy_refusal::no_room;
+        return copy_refusal::no_capacity;
     default:
         return copy_refusal::unreachable;
     }
@@ -50,7 +50,7 @@
 
 // -- survival -------------------------------------------------------------------------------------
 
-void stream_call::member_leaves(state::member_key member, departure const& when)
+void stream_call::on_member_leaving(state::member_key member, departure const& when)
 {
     // A generation without an event has nothing to copy: its upstream knows of none. Ordered every
     // 50 ms until the first event, copies that were refused told peers of load that never came. It
@@ -58,16 +58,16 @@
     bool const runs = begun_ && !resuming_;
     bool const concerns = !finished_ && exchange_ != nullptr && member == member_ && runs &&
                           admitted_.service->engine && admitted_.service->engine->live_migration;
-    keeper_leaves(member);
+    on_backup_leaving(member);
     // One that ends before its upstream is gone would only hold up the copies of others.
-    bool const outlives = expected_left(boot_now()) > gone_at(when) - boot_now();
+    bool const outlives = expected_remaining_time(boot_now()) > departure_time(when) - boot_now();
     if (!concerns || !outlives)
     {
         return;
     }
     member_load const fleet = core_.ledger.total(member);
-    copy_times const times =
-        copy_times_for(when, *admitted_.service->engine, fleet.tokens, fleet.calls);
+    copy_schedule const times =
+        schedule_copies(when, *admitted_.service->engine, fleet.tokens, fleet.calls);
     state::time_point const now = boot_now();
     core_.log.write("call", "upstream leaves", admitted_.terms.id,
                     {{"upstream", member_name()},
@@ -77,12 +77,12 @@
                      {"last_copy_in_ms", whole_milliseconds(times.last_at - now)},
                      {"fleet_calls", fleet.calls},
                      {"fleet_tokens", fleet.tokens}});
-    survival_actions actions;
-    survival().source_leaves(times, now, actions);
+    failover_actions actions;
+    failover().source_leaves(times, now, actions);
     apply(actions);
 }
 
-void stream_call::keeper_leaves(state::member_key member)
+void stream_call::on_backup_leaving(state::member_key member)
 {
     if (finished_ || backup_load_.calls == 0 || member != backup_load_.member)
     {
@@ -90,17 +90,17 @@
     }
     drop_backup();
     log("backup leaves", {});
-    survival_actions actions;
-    survival().backup_leaves(member, actions);
+    failover_actions actions;
+    failover().backup_leaves(member, actions);
     apply(actions);
 }
 
 // The connection of an upstream that started again may stay silent until the caller gives up, while
 // the backup waits elsewhere. Its former start works on nothing, so going on runs nothing twice.
-void stream_call::member_lost(state::member_key member)
+void stream_call::on_member_restarted(state::member_key member)
 {
     auto const self = shared_from_this();
-    keeper_leaves(member);
+    on_backup_leaving(member);
     if (finished_ || exchange_ == nullptr || member != member_)
     {
         return;
@@ -112,38 +112,38 @@
 }
 
 // A backup there could be kept, but nothing may be sent there to go on from it.
-void stream_call::zone_evacuated(state::zone_id zone)
+void stream_call::on_zone_evacuated(state::zone_id zone)
 {
     directory_entry const* const keeper = core_.directory.find(backup_load_.member);
-    if (keeper != nullptr && state::named<state::zone_id>(keeper->info.zone) == zone)
+    if (keeper != nullptr && state::id_from_name<state::zone_id>(keeper->info.zone) == zone)
     {
-        keeper_leaves(backup_load_.member);
+        on_backup_leaving(backup_load_.member);
     }
 }
 
-generation_survival& stream_call::survival()
+generation_failover& stream_call::failover()
 {
-    if (!survival_)
+    if (!failover_)
     {
-        survival_.emplace(
+        failover_.emplace(
             member_, [this](state::member_key source, std::span<state::member_key const> excluded)
             { return choose_destination(source, excluded); });
     }
-    return *survival_;
+    return *failover_;
 }
 
 // The caller's hint is right at the median. An answer that has passed it is taken to go on for half
 // of what it has: lengths vary by more than their mean.
-state::duration stream_call::expected_left(state::time_point now) const
+state::duration stream_call::expected_remaining_time(state::time_point now) const
 {
     std::uint32_t const made = tokens_held() - admitted_.demand.prompt_tokens;
     std::uint32_t const hinted = admitted_.demand.output_tokens;
     std::uint32_t const left = std::max(hinted > made ? hinted - made : 0U, made / 2);
     state::duration const each =
-        made == 0 ? usual_token_time : (now - first_event_at_) / static_cast<std::int64_t>(made);
+        made == 0 ? default_token_time : (now - first_event_at_) / static_cast<std::int64_t>(made);
     // The first events may come together, and a stop between two upstreams is not the pace.
     return static_cast<std::int64_t>(left) *
-           std::clamp<state::duration>(each, usual_token_time / 2, 4 * usual_token_time);
+           std::clamp<state::duration>(each, default_token_time / 2, 4 * default_token_time);
 }
 
 // -- backups --------------------------------------------------------------------------------------
@@ -159,8 +159,8 @@
     drop_backup();
     state::service const& service = *admitted_.service;
     bool const wanted = service.engine && service.engine->backups &&
-                        wants_backup(admitted_.demand.output_tokens,
-                                     core_.choice.mean_fullness(service, boot_now()));
+                        should_back_up(admitted_.demand.output_tokens,
+                                       core_.selector.mean_fullness(service, boot_now()));
     if (!wanted)
     {
         return;
@@ -168,10 +168,10 @@
     directory_entry const* const source = core_.directory.find(member_);
     std::array<state::member_key, 1> const excluded{member_};
     call_demand const demand{tokens_held(), admitted_.demand.output_tokens};
-    choice_terms const terms{source == nullptr ? core_.choice.own_zone() : source->info.zone,
-                             excluded};
-    auto const chosen = core_.choice.choose(service, demand, terms, boot_now());
-    if (!chosen || !has_room_for_backup(chosen->fullness))
+    selection_options const terms{source == nullptr ? core_.selector.own_zone() : source->info.zone,
+                                  excluded};
+    auto const chosen = core_.selector.choose(service, demand, terms, boot_now());
+    if (!chosen || !has_capacity_for_backup(chosen->fullness))
     {
         return;
     }
@@ -185,7 +185,7 @@
 {
     if (backup_load_.calls != 0)
     {
-        survival().backed_up_at(backup_load_.member);
+        failover().set_backup(backup_load_.member);
     }
 }
 
@@ -197,11 +197,11 @@
 
 // -- departures -----------------------------------------------------------------------------------
 
-void stream_call::watch_departure()
+void stream_call::check_departure()
 {
     if (departure const* const when = core_.departures.find(member_))
     {
-        member_leaves(member_, departure{*when});
+        on_member_leaving(member_, departure{*when});
     }
 }
 
@@ -211,31 +211,31 @@
 {
     directory_entry const* const entry = core_.directory.find(source);
     call_demand const demand{load_.tokens, admitted_.demand.output_tokens};
-    choice_terms const terms{entry == nullptr ? core_.choice.own_zone() : entry->info.zone,
-                             excluded, far_destination};
-    auto const chosen = core_.choice.choose(*admitted_.service, demand, terms, boot_now());
+    selection_options const terms{entry == nullptr ? core_.selector.own_zone() : entry->info.zone,
+                                  excluded, other_zone_destination_penalty};
+    auto const chosen = core_.selector.choose(*admitted_.service, demand, terms, boot_now());
     return chosen ? std::optional{chosen->member} : std::nullopt;
 }
 
-void stream_call::apply(survival_actions const& actions)
+void stream_call::apply(failover_actions const& actions)
 {
     auto const self = shared_from_this();
-    for (survival_action const& action : actions)
+    for (failover_action const& action : actions)
     {
         std::visit([this](auto const& each) { carry_out(each); }, action);
     }
     if (!finished_)
     {
-        arm();
+        arm_timer();
     }
 }
 
-void stream_call::hold_copy(state::member_key destination)
+void stream_call::reserve_for_copy(state::member_key destination)
 {
     drop_load(copy_load_);
     copy_load_ = {destination, 1, load_.tokens, load_.tokens_at_end, 0};
     core_.ledger.add(destination, copy_load_);
-    tell_load(destination);
+    announce_load(destination);
 }
 
 void stream_call::carry_out(order_copy const& action)
@@ -246,9 +246,9 @@
     {
         return;
     }
-    hold_copy(action.destination);
-    protocol::own_request wanted =
-        core_.dialect.copy_order(admitted_.terms.id, destination->info.address, action.last);
+    reserve_for_copy(action.destination);
+    protocol::upstream_request wanted =
+        core_.dialect.copy_request(admitted_.terms.id, destination->info.address, action.last);
     fetch_request request;
     request.address = source->info.address;
     request.method = std::move(wanted.method);
@@ -273,11 +273,11 @@
     state::time_point const now = boot_now();
     auto const copy = answer ? core_.dialect.read_copy_answer(answer.value().body)
                              : state::result<protocol::copy_answer>{state::failure{}};
-    survival_actions actions;
+    failover_actions actions;
     if (answer && answer.value().status == success && copy)
     {
         log(last ? "last copy complete" : "first copy complete", {});
-        survival_->copied(copy.value().handle, now, actions);
+        failover_->copied(copy.value().handle, now, actions);
     }
     else
     {
@@ -285,7 +285,7 @@
         core_.metrics.add(forward_count::copies_refused);
         log(last ? "last copy refused" : "first copy refused",
             answer ? std::to_string(answer.value().status) : answer.error().detail);
-        survival_->copy_refused(refusal_of(answer), copy ? copy.value().handle : std::string{}, now,
+        failover_->copy_refused(refusal_of(answer), copy ? copy.value().handle : std::string{}, now,
                                 actions);
     }
     if (!finished_)
@@ -300,22 +300,22 @@
     directory_entry const* const at = core_.directory.find(action.at);
     if (holder == nullptr || at == nullptr)
     {
-        return break_off("the upstream to go on at is unknown");
+        return abort_answer("the upstream to go on at is unknown");
     }
     if (is_quarantined())
     {
-        return break_off("upstreams ended under this request");
+        return abort_answer("upstreams ended under this request");
     }
     close_exchange();
-    resumed_ = protocol::continuation{holder->info.address,
-                                      action.handle.empty() ? admitted_.terms.id : action.handle,
-                                      last_event_};
+    resume_from_ = protocol::resume_point{
+        holder->info.address, action.handle.empty() ? admitted_.terms.id : action.handle,
+        last_event_id_};
     events_ = {};
     drop_load(copy_load_);
     streaming_ = false;
     resuming_ = true;
     log("resuming", at->info.name);
-    open(action.at);
+    open_exchange(action.at);
 }
 
 void stream_call::carry_out(release_copy const& action)
@@ -325,7 +325,7 @@
     {
         return;
     }
-    protocol::own_request wanted = core_.dialect.copy_release(action.handle);
+    protocol::upstream_request wanted = core_.dialect.copy_release_request(action.handle);
     fetch_request request;
     request.address = source->info.address;
     request.method = std::move(wanted.method);
@@ -343,7 +343,7 @@
 
 void stream_call::carry_out(abandon_generation const& /*action*/)
 {
-    break_off("the upstream broke off");
+    abort_answer("the upstream broke off");
 }
 
 } // namespace plumdale::transport
--- a/src/transport/upstream_exchange.cpp
+++ b/src/transport/upstream_exchange.cpp
@@ -36,9 +36,9 @@
 
 void upstream_exchange::start()
 {
-    if (options_.longest_idle > state::duration::zero())
+    if (options_.max_idle > state::duration::zero())
     {
-        socket_ = pool_.take(options_.member, options_.longest_idle, boot_now());
+        socket_ = pool_.take(options_.member, options_.max_idle, boot_now());
     }
     reused_ = socket_ != nullptr;
     reused_ ? send() : connect();
@@ -125,7 +125,7 @@
         return read();
     }
     bool const in_order = error == net::error::eof;
-    if (in_order && reader_.append_end() == protocol::read_progress::whole)
+    if (in_order && reader_.append_eof() == protocol::read_progress::whole)
     {
         report_progress();
         if (sink_ != nullptr)
@@ -136,7 +136,7 @@
     }
     bool const by_upstream = error == net::error::eof || error == net::error::connection_reset ||
                              error == net::error::broken_pipe;
-    finish(by_upstream ? exchange_end::broken : exchange_end::spoiled);
+    finish(by_upstream ? exchange_end::broken : exchange_end::invalid_or_lost);
 }
 
 void upstream_exchange::take(std::string_view bytes)
@@ -146,14 +146,14 @@
            reader_.head().status < first_final_status)
     {
         // An interim answer; the final one follows.
-        std::string const rest{reader_.rest()};
+        std::string const unconsumed{reader_.unconsumed()};
         reader_ = new_reader(options_.without_body);
-        reader_.append(rest);
+        reader_.append(unconsumed);
     }
     report_progress();
     if (sink_ != nullptr && reader_.progress() == protocol::read_progress::malformed)
     {
-        return finish(exchange_end::spoiled);
+        return finish(exchange_end::invalid_or_lost);
     }
     if (sink_ != nullptr && reader_.progress() == protocol::read_progress::whole)
     {
@@ -165,12 +165,12 @@
 {
     using enum protocol::read_progress;
     bool const has_head = reader_.progress() == body || reader_.progress() == whole;
-    if (has_head && !head_told_)
+    if (has_head && !head_reported_)
     {
-        head_told_ = true;
+        head_reported_ = true;
         sink_->on_head(reader_.head(), reader_.framing());
     }
-    if (sink_ != nullptr && head_told_)
+    if (sink_ != nullptr && head_reported_)
     {
         if (std::string arrived = reader_.take_body(); !arrived.empty())
         {
@@ -186,7 +186,7 @@
     // Bytes behind the answer belong to no call, and an upstream that answered before it read the
     // whole body still reads: neither connection may carry another call.
     bool const reusable = end == exchange_end::whole && options_.keep && written_ && !closes_ &&
-                          reader_.rest().empty();
+                          reader_.unconsumed().empty();
     if (reusable)
     {
         pool_.keep(options_.member, std::move(*socket_),
--- a/src/transport/upstream_exchange.hpp
+++ b/src/transport/upstream_exchange.hpp
@@ -23,12 +23,12 @@
 /// \brief How an exchange ended.
 enum class exchange_end : std::uint8_t
 {
-    whole,       ///< The answer ended as its framing says.
-    unconfirmed, ///< It ended with the connection, in order; a break can look the same.
-    unreachable, ///< No connection: nothing was sent.
-    not_sent,    ///< `exchange_sink::request` declined: nothing was sent.
-    broken,      ///< The upstream ended the connection first.
-    spoiled,     ///< It sent what is no answer, or the path to it is gone.
+    whole,           ///< The answer ended as its framing says.
+    unconfirmed,     ///< It ended with the connection, in order; a break can look the same.
+    unreachable,     ///< No connection: nothing was sent.
+    not_sent,        ///< `exchange_sink::request` declined: nothing was sent.
+    broken,          ///< The upstream ended the connection first.
+    invalid_or_lost, ///< It sent what is no answer, or the path to it is gone.
 };
 
 /// \brief Who sent the call. Called on the loop, not after `upstream_exchange::cancel()`.
@@ -57,7 +57,7 @@
         state::endpoint address;
         bool without_body = false;
         /// \brief Longest idle time of a kept connection; zero for a new one always.
-        state::duration longest_idle{};
+        state::duration max_idle{};
         /// \brief Keeps the connection afterwards.
         bool keep = true;
     };
@@ -114,7 +114,7 @@
     bool sent_ = false;
     bool written_ = false;
     bool reused_ = false;
-    bool head_told_ = false;
+    bool head_reported_ = false;
     bool paused_ = false;
     bool reading_ = false;
 };
--- a/src/transport/upstream_pool.cpp
+++ b/src/transport/upstream_pool.cpp
@@ -12,7 +12,7 @@
 
 // An end, or bytes that no request asked for, such as an extra answer: the next answer read on such
 // a connection would not be that of the next call.
-bool is_quiet(tcp::socket& socket)
+bool is_reusable(tcp::socket& socket)
 {
     char byte = 0;
     ssize_t const got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -21,8 +21,8 @@
 
 } // namespace
 
-std::unique_ptr<tcp::socket>
-upstream_pool::take(state::member_key member, state::duration longest_idle, state::time_point now)
+std::unique_ptr<tcp::socket> upstream_pool::take(state::member_key member, state::duration max_idle,
+                                                 state::time_point now)
 {
     auto const found = idle_.find(member);
     while (found != idle_.end() && !found->second.empty())
@@ -30,7 +30,7 @@
         kept_connection kept = std::move(found->second.back());
         found->second.pop_back();
         state::duration const idle = now - kept.idle_since;
-        if (idle < std::min(kept.usable, longest_idle) && is_quiet(kept.socket))
+        if (idle < std::min(kept.usable_time, max_idle) && is_reusable(kept.socket))
         {
             return std::make_unique<tcp::socket>(std::move(kept.socket));
         }
@@ -42,9 +42,9 @@
                          state::time_point now)
 {
     std::vector<kept_connection>& kept = idle_[member];
-    if (kept.size() < most_idle)
+    if (kept.size() < max_idle_connections)
     {
-        kept.push_back({std::move(socket), now, keep_alive / usable_part});
+        kept.push_back({std::move(socket), now, keep_alive / keep_alive_divisor});
     }
 }
 
@@ -53,7 +53,7 @@
     for (auto& [member, kept] : idle_)
     {
         std::erase_if(kept, [now](kept_connection const& each)
-                      { return now - each.idle_since >= each.usable; });
+                      { return now - each.idle_since >= each.usable_time; });
     }
     std::erase_if(idle_, [](auto const& each) { return each.second.empty(); });
 }
--- a/src/transport/worker.cpp
+++ b/src/transport/worker.cpp
@@ -43,10 +43,10 @@
         });
 }
 
-state::caller_handle worker::enter(std::shared_ptr<caller_port> port)
+state::caller_handle worker::add_caller(std::shared_ptr<answer_sink> sink)
 {
-    state::caller_handle const caller{++entered_ * count_ + index_};
-    callers_.emplace(caller, std::move(port));
+    state::caller_handle const caller{++callers_added_ * worker_count_ + index_};
+    callers_.emplace(caller, std::move(sink));
     return caller;
 }
 
@@ -55,7 +55,7 @@
     callers_.erase(caller);
 }
 
-std::shared_ptr<caller_port> worker::find(state::caller_handle caller) const
+std::shared_ptr<answer_sink> worker::find(state::caller_handle caller) const
 {
     auto const found = callers_.find(caller);
     return found == callers_.end() ? nullptr : found->second;
@@ -65,11 +65,11 @@
 {
     // Delivering forgets the caller, so the table is walked as a copy.
     auto const callers = callers_;
-    for (auto const& [caller, port] : callers)
+    for (auto const& [caller, sink] : callers)
     {
         auto const kind =
-            port->began() ? state::error_kind::interrupted : state::error_kind::may_have_run;
-        port->deliver(coordination::send_refused{caller, kind, std::chrono::seconds{1}, {}, 0});
+            sink->has_started() ? state::error_kind::interrupted : state::error_kind::may_have_run;
+        sink->deliver(coordination::send_refused{caller, kind, std::chrono::seconds{1}, {}, 0});
     }
 }
 
--- a/src/transport/worker.hpp
+++ b/src/transport/worker.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "caller_port.hpp"
+#include "answer_sink.hpp"
 #include "metrics.hpp"
 #include "net.hpp"
 
@@ -28,8 +28,8 @@
 class worker
 {
 public:
-    worker(net::io_context& context, std::uint32_t index, std::uint32_t count)
-        : index_{index}, count_{count}, context_{context}
+    worker(net::io_context& context, std::uint32_t index, std::uint32_t worker_count)
+        : index_{index}, worker_count_{worker_count}, context_{context}
     {
     }
 
@@ -54,11 +54,11 @@
     void stop();
 
     /// \brief Enters a caller; returns its handle. On this worker's thread.
-    [[nodiscard]] state::caller_handle enter(std::shared_ptr<caller_port> port);
+    [[nodiscard]] state::caller_handle add_caller(std::shared_ptr<answer_sink> sink);
     /// \brief Forgets a caller. On this worker's thread.
     void leave(state::caller_handle caller);
     /// \brief Returns the caller, or null when it has left. On this worker's thread.
-    [[nodiscard]] std::shared_ptr<caller_port> find(state::caller_handle caller) const;
+    [[nodiscard]] std::shared_ptr<answer_sink> find(state::caller_handle caller) const;
 
     /// \brief Tells every caller that its answer breaks off. On this worker's thread.
     void interrupt_callers();
@@ -67,14 +67,14 @@
     void measure_lag();
 
     std::uint32_t index_;
-    std::uint32_t count_;
+    std::uint32_t worker_count_;
     net::io_context& context_;
-    net::executor_work_guard<net::io_context::executor_type> work_{context_.get_executor()};
+    net::executor_work_guard<net::io_context::executor_type> work_guard_{context_.get_executor()};
     std::thread thread_;
     net::steady_timer lag_timer_{context_};
     worker_metrics metrics_;
-    std::uint64_t entered_ = 0;
-    std::unordered_map<state::caller_handle, std::shared_ptr<caller_port>> callers_;
+    std::uint64_t callers_added_ = 0;
+    std::unordered_map<state::caller_handle, std::shared_ptr<answer_sink>> callers_;
 };
 
 } // namespace plumdale::transport
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -42,8 +42,8 @@
                engine_wire_settings const& wire)
     : io_{io}, settings_{model}, wire_{wire}, model_{model}, orders_{wire.fences_orders,
                                                                      wire.load_weights},
-      reports_{wire.reports, wire.uptime == 0 ? uptime_now() : wire.uptime}, step_timer_{io},
-      load_timer_{io}, beat_timer_{io}
+      reports_{wire.reports, wire.incarnation_number == 0 ? uptime_now() : wire.incarnation_number},
+      step_timer_{io}, load_timer_{io}, beat_timer_{io}
 {
     report_load();
     beat();
--- a/standins/engine.hpp
+++ b/standins/engine.hpp
@@ -30,7 +30,8 @@
     std::chrono::milliseconds beat{1'000};
     std::chrono::milliseconds load_weights{0};
     bool fences_orders = true;
-    std::uint64_t uptime = 0; ///< As the platform lists it; zero takes the time of the start.
+    std::uint64_t incarnation_number =
+        0; ///< As the platform lists it; zero takes the time of the start.
 };
 
 /// \brief Serves one engine on one thread.
--- a/standins/engine_command.cpp
+++ b/standins/engine_command.cpp
@@ -36,7 +36,8 @@
     TCLAP::ValueArg<int> retain{"", "retain-ms", "resume after the end", false, 60000, "MS", line};
     TCLAP::ValueArg<int> load{"", "load-ms", "to load other weights", false, 0, "MS", line};
     TCLAP::ValueArg<std::uint64_t> seed{"", "seed", "of gaps", false, 1, "N", line};
-    TCLAP::ValueArg<std::uint64_t> uptime{"", "uptime", "0 takes the time", false, 0, "N", line};
+    TCLAP::ValueArg<std::uint64_t> incarnation_number{"",  "uptime", "0 takes the time", false, 0,
+                                                      "N", line};
     TCLAP::SwitchArg unfenced{"", "unfenced", "take any order, whatever its number", line};
     line.parse(args);
 
@@ -54,7 +55,7 @@
     wire.reports.seed = seed.getValue();
     wire.retain_finished = std::chrono::milliseconds{retain.getValue()};
     wire.load_weights = std::chrono::milliseconds{load.getValue()};
-    wire.uptime = uptime.getValue();
+    wire.incarnation_number = incarnation_number.getValue();
     wire.fences_orders = !unfenced.getValue();
 
     boost::asio::io_context io{1};
--- a/standins/engine_reports.cpp
+++ b/standins/engine_reports.cpp
@@ -25,8 +25,8 @@
 
 } // namespace
 
-engine_reports::engine_reports(report_settings settings, std::uint64_t uptime)
-    : settings_{settings}, uptime_{uptime}, random_{settings.seed}
+engine_reports::engine_reports(report_settings settings, std::uint64_t incarnation_number)
+    : settings_{settings}, uptime_{incarnation_number}, random_{settings.seed}
 {
 }
 
--- a/standins/engine_reports.hpp
+++ b/standins/engine_reports.hpp
@@ -30,7 +30,7 @@
 public:
     using clock = std::chrono::steady_clock;
 
-    engine_reports(report_settings settings, std::uint64_t uptime);
+    engine_reports(report_settings settings, std::uint64_t incarnation_number);
 
     void add_load(engine_load const& load, clock::time_point now);
     void add_cache_events(std::vector<cache_event> const& events, clock::time_point now);
--- a/tests/coordination/control_checker.hpp
+++ b/tests/coordination/control_checker.hpp
@@ -11,21 +11,23 @@
 /// \brief What the checkers found; all zero when every promise held.
 struct violations
 {
-    std::size_t reverts = 0;        ///< A node went back to an older switch.
-    std::size_t served_old = 0;     ///< A node came back and served under a preset all had left.
-    std::size_t lost_switches = 0;  ///< An accepted switch was not in force in the end.
-    std::size_t divergence = 0;     ///< Nodes that disagreed, or did not serve, after the heal.
-    std::size_t leaving_work = 0;   ///< An upstream that leaves was offered again.
-    std::size_t late_marks = 0;     ///< A mark took over 2 s to a node that could hear of it.
-    std::size_t member_faults = 0;  ///< Members that were not seen alive after the heal.
-    std::size_t silent_answers = 0; ///< Operators without an answer though their VM lived.
-    std::size_t cut_requests = 0;   ///< A drain ended with requests in flight.
-    std::size_t wrong_orders = 0;   ///< Engines that went back to, or stayed with, old orders.
+    std::size_t reverts = 0;           ///< A node went back to an older switch.
+    std::size_t served_old = 0;        ///< A node came back and served under a preset all had left.
+    std::size_t lost_switches = 0;     ///< An accepted switch was not in force in the end.
+    std::size_t divergence = 0;        ///< Nodes that disagreed, or did not serve, after the heal.
+    std::size_t leaving_offered = 0;   ///< An upstream that leaves was offered again.
+    std::size_t late_marks = 0;        ///< A mark took over 2 s to a node that could hear of it.
+    std::size_t members_not_alive = 0; ///< Members that were not seen alive after the heal.
+    std::size_t missing_or_repeated_answers =
+        0;                                 ///< Operators without an answer though their VM lived.
+    std::size_t requests_cut_by_drain = 0; ///< A drain ended with requests in flight.
+    std::size_t wrong_orders = 0; ///< Engines that went back to, or stayed with, old orders.
 
     [[nodiscard]] std::size_t count() const
     {
-        return reverts + served_old + lost_switches + divergence + leaving_work + late_marks +
-               member_faults + silent_answers + cut_requests + wrong_orders;
+        return reverts + served_old + lost_switches + divergence + leaving_offered + late_marks +
+               members_not_alive + missing_or_repeated_answers + requests_cut_by_drain +
+               wrong_orders;
     }
 };
 
@@ -33,11 +35,11 @@
 class control_checker
 {
 public:
-    explicit control_checker(fleet_loop& loop) : loop_{loop}, seen_(loop.nodes().size()) {}
+    explicit control_checker(fleet_loop& loop) : loop_{loop}, histories_(loop.nodes().size()) {}
 
     violations found;
     /// \brief False while datagrams may not reach every node: then nobody can be late.
-    bool calm = true;
+    bool network_reliable = true;
 
     void step(state::duration time)
     {
@@ -46,8 +48,8 @@
         {
             loop_.run_for(std::min<state::duration>(20ms, end - loop_.now()));
             // As of the step before: what spread while a node came back it may still lack.
-            std::vector<node_history> const before = seen_;
-            for (std::size_t i = 0; i < seen_.size(); ++i)
+            std::vector<node_history> const before = histories_;
+            for (std::size_t i = 0; i < histories_.size(); ++i)
             {
                 check_node(i, before);
             }
@@ -55,7 +57,7 @@
     }
 
     /// \brief A node learnt that engine 1, in its first uptime, is leaving.
-    void marked()
+    void record_leaving_mark()
     {
         marked_ = true;
         marked_at_ = loop_.now();
@@ -65,61 +67,61 @@
         return marked_;
     }
 
-    void asked(std::uint64_t exchange, std::size_t node)
+    void record_switch_request(std::uint64_t exchange, std::size_t node)
     {
-        asked_.push_back({exchange, node, loop_.nodes()[node].life});
+        requested_switches_.push_back({exchange, node, loop_.nodes()[node].start_count});
     }
 
     /// \brief Checks what has to hold once all faults are over for long enough.
-    void check_end()
+    void check_final_state()
     {
         state::preset_stamp const agreed = loop_.fleet(0)->in_force;
-        for (std::size_t i = 0; i < seen_.size(); ++i)
+        for (std::size_t i = 0; i < histories_.size(); ++i)
         {
-            check_end_of_node(i, agreed);
+            check_final_state_of(i, agreed);
         }
         for (auto const& [node, action] : loop_.answers)
         {
             bool const accepted = action.answer.outcome == switch_outcome::accepted;
             found.lost_switches += accepted && agreed < action.answer.stamp ? 1 : 0;
         }
-        for (asked_switch const& each : asked_)
+        for (requested_switch const& each : requested_switches_)
         {
             auto const answered =
                 std::count_if(loop_.answers.begin(), loop_.answers.end(),
                               [&each](auto const& answer)
                               { return answer.second.exchange.value == each.exchange; });
-            bool const lived = loop_.nodes()[each.node].life == each.life;
-            found.silent_answers += answered > 1 || (lived && answered == 0) ? 1 : 0;
+            bool const lived = loop_.nodes()[each.node].start_count == each.start_count;
+            found.missing_or_repeated_answers += answered > 1 || (lived && answered == 0) ? 1 : 0;
         }
     }
 
 private:
     struct node_history
     {
-        std::uint64_t life = 0;
+        std::uint64_t start_count = 0;
         bool alive = false;
         bool ready = false;
         state::time_point last_alive{};
         state::preset_stamp in_force;
         /// \brief What all others had in force when this node came back.
-        state::preset_stamp floor;
-        bool refused_leaving = false;
+        state::preset_stamp minimum_stamp;
+        bool has_stopped_offering = false;
     };
-    struct asked_switch
+    struct requested_switch
     {
         std::uint64_t exchange = 0;
         std::size_t node = 0;
-        std::uint64_t life = 0;
+        std::uint64_t start_count = 0;
     };
 
     void check_node(std::size_t i, std::vector<node_history> const& before)
     {
-        node_history& history = seen_[i];
+        node_history& history = histories_[i];
         node_model const& node = loop_.nodes()[i];
-        if (history.life != node.life)
+        if (history.start_count != node.start_count)
         {
-            history = {node.life, false, false, {}, {}, {}, false};
+            history = {node.start_count, false, false, {}, {}, {}, false};
         }
         bool const came_back = loop_.alive(i) && !history.alive;
         history.alive = loop_.alive(i);
@@ -133,37 +135,38 @@
         history.last_alive = loop_.now();
         if (came_back && was_long)
         {
-            history.floor = in_force_at_all_but(i, before);
+            history.minimum_stamp = lowest_in_force_except(i, before);
         }
         auto const fleet = loop_.fleet(i);
         found.reverts += fleet->in_force < history.in_force ? 1 : 0;
-        found.served_old += calm && fleet->ready && fleet->in_force < history.floor ? 1 : 0;
+        found.served_old +=
+            network_reliable && fleet->ready && fleet->in_force < history.minimum_stamp ? 1 : 0;
         history.in_force = fleet->in_force;
         history.ready = fleet->ready;
-        found.cut_requests += node.finished && node.in_flight->load() != 0 ? 1 : 0;
+        found.requests_cut_by_drain += node.finished && node.in_flight->load() != 0 ? 1 : 0;
         check_marks(*fleet, history);
     }
 
     void check_marks(fleet_snapshot const& fleet, node_history& history)
     {
         auto const* const engine = fleet.find_upstream({1});
-        bool const is_marked = engine != nullptr && engine->info.uptime.value == 1;
+        bool const is_marked = engine != nullptr && engine->info.incarnation_number.value == 1;
         bool const offered = is_marked && engine->accepting;
-        found.leaving_work += offered && history.refused_leaving ? 1 : 0;
-        history.refused_leaving = history.refused_leaving || (is_marked && !offered);
-        bool const could_hear =
-            marked_ && calm && loop_.now() - marked_at_ > 2s && fleet.ready && all_awake();
+        found.leaving_offered += offered && history.has_stopped_offering ? 1 : 0;
+        history.has_stopped_offering = history.has_stopped_offering || (is_marked && !offered);
+        bool const could_hear = marked_ && network_reliable && loop_.now() - marked_at_ > 2s &&
+                                fleet.ready && none_paused();
         found.late_marks += could_hear && offered ? 1 : 0;
     }
 
-    [[nodiscard]] bool all_awake() const
+    [[nodiscard]] bool none_paused() const
     {
         return std::none_of(loop_.nodes().begin(), loop_.nodes().end(),
                             [](node_model const& node) { return node.paused; });
     }
 
     [[nodiscard]] static state::preset_stamp
-    in_force_at_all_but(std::size_t but, std::vector<node_history> const& before)
+    lowest_in_force_except(std::size_t but, std::vector<node_history> const& before)
     {
         state::preset_stamp least{UINT64_MAX, 0, 0, {}};
         for (std::size_t i = 0; i < before.size(); ++i)
@@ -176,7 +179,7 @@
         return least.revision == UINT64_MAX ? state::preset_stamp{} : least;
     }
 
-    void check_end_of_node(std::size_t i, state::preset_stamp const& agreed)
+    void check_final_state_of(std::size_t i, state::preset_stamp const& agreed)
     {
         if (!loop_.alive(i) || loop_.nodes()[i].finished)
         {
@@ -186,7 +189,7 @@
         bool const same = fleet->in_force == agreed && fleet->stamp == agreed &&
                           preset_named(fleet->preset.name) == agreed.preset;
         found.divergence += same && (fleet->ready || fleet->draining) ? 0 : 1;
-        for (std::size_t other = 0; other < seen_.size(); ++other)
+        for (std::size_t other = 0; other < histories_.size(); ++other)
         {
             if (other == i || !loop_.alive(other) || loop_.nodes()[other].finished)
             {
@@ -194,16 +197,17 @@
             }
             auto const* const member = fleet->find_member(fleet_loop::id_of(other));
             bool const seen = member != nullptr &&
-                              member->uptime == loop_.nodes()[other].settings.self.uptime &&
+                              member->incarnation_number ==
+                                  loop_.nodes()[other].settings.self.incarnation_number &&
                               member->health != state::member_health::dead &&
                               member->health != state::member_health::suspect;
-            found.member_faults += seen ? 0 : 1;
+            found.members_not_alive += seen ? 0 : 1;
         }
     }
 
     fleet_loop& loop_;
-    std::vector<node_history> seen_;
-    std::vector<asked_switch> asked_;
+    std::vector<node_history> histories_;
+    std::vector<requested_switch> requested_switches_;
     bool marked_ = false;
     state::time_point marked_at_{};
 };
--- a/tests/coordination/fleet_loop.hpp
+++ b/tests/coordination/fleet_loop.hpp
@@ -85,16 +85,16 @@
             std::make_unique<control_plane>(node.settings, *node.fleet, *node.in_flight, random_());
         node.paused = false;
         node.finished = false;
-        node.missed.clear();
+        node.buffered_events.clear();
         node.replaced_by = {};
-        ++node.life;
+        ++node.start_count;
         node.timer = now_ + std::chrono::microseconds{random_() % 500'000};
         push(node.timer, i, deadline_reached{});
     }
 
     void stop(std::size_t i)
     {
-        ++nodes_[i].life;
+        ++nodes_[i].start_count;
         nodes_[i].control.reset();
     }
 
@@ -104,15 +104,15 @@
     }
 
     /// \brief Wakes a paused node: what queued up in its sockets arrives first, at once.
-    void wake(std::size_t i, bool told = true)
+    void wake(std::size_t i, bool report_pause = true)
     {
         node_model& node = nodes_[i];
         node.paused = false;
-        if (told)
+        if (report_pause)
         {
             push(now_, i, process_paused{1s});
         }
-        for (auto& [at, event] : std::exchange(node.missed, {}))
+        for (auto& [at, event] : std::exchange(node.buffered_events, {}))
         {
             push(now_, i, std::move(event));
         }
@@ -190,7 +190,7 @@
         state::time_point at;
         std::uint64_t order = 0;
         std::size_t node = 0;
-        std::uint64_t life = 0;
+        std::uint64_t start_count = 0;
         control_event event;
         friend bool operator<(entry const& a, entry const& b)
         {
@@ -200,7 +200,7 @@
 
     void push(state::time_point at, std::size_t node, control_event event)
     {
-        queue_.push({at, ++order_, node, nodes_[node].life, std::move(event)});
+        queue_.push({at, ++order_, node, nodes_[node].start_count, std::move(event)});
     }
 
     state::duration delay()
@@ -211,16 +211,16 @@
     void deliver(entry& next)
     {
         node_model& node = nodes_[next.node];
-        if (!node.control || next.life != node.life)
+        if (!node.control || next.start_count != node.start_count)
         {
             return;
         }
         bool const timer = std::holds_alternative<deadline_reached>(next.event);
         if (node.paused)
         {
-            if (!timer && node.missed.size() < 1'000)
+            if (!timer && node.buffered_events.size() < 1'000)
             {
-                node.missed.emplace_back(now_, std::move(next.event));
+                node.buffered_events.emplace_back(now_, std::move(next.event));
             }
             return;
         }
@@ -279,9 +279,9 @@
 
     void read(std::size_t node, read_configuration const& action)
     {
-        if (platform.down || platform.zones_cut.count(nodes_[node].zone) != 0)
+        if (platform.down || platform.disconnected_zones.count(nodes_[node].zone) != 0)
         {
-            return push(now_ + delay(), node, platform_failed{});
+            return push(now_ + delay(), node, configuration_read_failed{});
         }
         state::time_point const at = now_ + delay();
         std::uint64_t const newest = platform.newest();
@@ -314,7 +314,8 @@
 
     void carry_out(std::size_t node, read_vm_list& /*action*/)
     {
-        bool const reachable = !platform.down && platform.zones_cut.count(nodes_[node].zone) == 0;
+        bool const reachable =
+            !platform.down && platform.disconnected_zones.count(nodes_[node].zone) == 0;
         push(now_ + delay(), node,
              reachable ? control_event{platform.list} : control_event{vm_list_failed{}});
     }
--- a/tests/coordination/fleet_models.hpp
+++ b/tests/coordination/fleet_models.hpp
@@ -27,16 +27,16 @@
 struct platform_model
 {
     bool down = false;
-    std::set<std::size_t> zones_cut;
+    std::set<std::size_t> disconnected_zones;
     /// \brief What was published, by revision.
     std::map<std::uint64_t, control_event> published;
     /// \brief A stale service shows nothing beyond this revision.
-    std::uint64_t visible = UINT64_MAX;
+    std::uint64_t visible_revision = UINT64_MAX;
     vm_list_read list;
 
     [[nodiscard]] std::uint64_t newest() const
     {
-        auto const after = published.upper_bound(visible);
+        auto const after = published.upper_bound(visible_revision);
         return after == published.begin() ? 0 : std::prev(after)->first;
     }
 };
@@ -49,9 +49,9 @@
     std::unique_ptr<std::atomic<std::uint32_t>> in_flight;
     std::unique_ptr<control_plane> control;
     std::size_t zone = 0;
-    std::uint64_t life = 0; ///< Counts starts; events for an earlier one are lost.
+    std::uint64_t start_count = 0; ///< Counts starts; events for an earlier one are lost.
     bool paused = false;
-    std::vector<std::pair<state::time_point, control_event>> missed;
+    std::vector<std::pair<state::time_point, control_event>> buffered_events;
     state::time_point timer = state::never;
     std::uint64_t messages = 0;
     std::uint64_t bytes = 0;
--- a/tests/coordination/fleet_scenario.hpp
+++ b/tests/coordination/fleet_scenario.hpp
@@ -24,12 +24,12 @@
         {
             state::upstream engine;
             engine.id = {i};
-            engine.uptime = {1};
+            engine.incarnation_number = {1};
             engine.zone = {i % zone_count + 1};
             engine.model = {1};
             loop_.platform.list.upstreams.push_back(engine);
         }
-        publish_basics(loop_);
+        publish_base_configuration(loop_);
     }
 
     [[nodiscard]] violations run()
@@ -37,13 +37,13 @@
         step(8s);
         for (int i = 0; i < 8; ++i)
         {
-            change();
-            fault();
+            apply_random_change();
+            inject_random_fault();
             step(std::chrono::milliseconds{500 + random_() % 4'500});
         }
         heal();
         step(40s);
-        checker_.check_end();
+        checker_.check_final_state();
         return checker_.found;
     }
 
@@ -51,16 +51,16 @@
     static constexpr std::size_t node_count = 6;
     static constexpr std::size_t zone_count = 3;
 
-    [[nodiscard]] std::size_t any(std::size_t count)
+    [[nodiscard]] std::size_t random_below(std::size_t count)
     {
         return random_() % count;
     }
 
-    void change()
+    void apply_random_change()
     {
         static constexpr std::array<char const*, 3> presets{"ordinary", "peak", "maintenance"};
-        std::string const preset = presets[any(3)];
-        switch (any(4))
+        std::string const preset = presets[random_below(3)];
+        switch (random_below(4))
         {
         case 0:
             ++revision_;
@@ -68,13 +68,13 @@
             break;
         case 1:
         case 2:
-            ask_switch(preset);
+            request_switch(preset);
             break;
         default:
-            if (std::size_t const witness = any(node_count);
+            if (std::size_t const witness = random_below(node_count);
                 !checker_.has_mark() && loop_.alive(witness))
             {
-                checker_.marked();
+                checker_.record_leaving_mark();
                 loop_.send(witness, upstream_leaving{{1}, {1}});
                 // Time to tell one other: a mark that dies with its only witness is known to none.
                 step(200ms);
@@ -82,35 +82,36 @@
         }
     }
 
-    void ask_switch(std::string const& preset)
+    void request_switch(std::string const& preset)
     {
-        std::size_t const node = any(node_count);
-        std::uint8_t const who = static_cast<std::uint8_t>(1 + any(3));
+        std::size_t const node = random_below(node_count);
+        std::uint8_t const who = static_cast<std::uint8_t>(1 + random_below(3));
         if (loop_.alive(node))
         {
-            checker_.asked(++exchange_, node);
+            checker_.record_switch_request(++exchange_, node);
             loop_.send(node,
                        operator_switch{{exchange_}, operator_key(who), preset_named(preset), 0});
         }
     }
 
-    void fault()
+    void inject_random_fault()
     {
-        switch (any(8))
+        switch (random_below(8))
         {
         case 0:
             loop_.platform.down = !loop_.platform.down;
             break;
         case 1:
-            loop_.platform.visible = any(2) == 0 ? revision_ - any(2) : UINT64_MAX;
+            loop_.platform.visible_revision =
+                random_below(2) == 0 ? revision_ - random_below(2) : UINT64_MAX;
             break;
         case 2:
-            cut_ = any(zone_count);
-            loop_.connected = [cut = cut_](std::size_t a, std::size_t b)
+            cut_zone_ = random_below(zone_count);
+            loop_.connected = [cut = cut_zone_](std::size_t a, std::size_t b)
             {
                 return (a == cut) == (b == cut);
             };
-            whole_ = false;
+            never_partitioned_ = false;
             break;
         case 3:
             loop_.connected = [](std::size_t, std::size_t)
@@ -119,48 +120,48 @@
             };
             break;
         case 4:
-            loop_.platform.zones_cut = {any(zone_count)};
+            loop_.platform.disconnected_zones = {random_below(zone_count)};
             break;
         case 5:
-            loop_.loss = double(any(3)) * 0.05;
+            loop_.loss = double(random_below(3)) * 0.05;
             break;
         case 6:
-            restart_one();
+            restart_random_node();
             break;
         default:
-            pause_one();
+            pause_random_node();
         }
     }
 
     // One at a time, and only while the fleet is in one piece: the settings' promise is to outlive
     // the loss of one VM, and a half of a cut fleet may be no more than one.
-    void restart_one()
+    void restart_random_node()
     {
-        if (!whole_)
+        if (!never_partitioned_)
         {
             return;
         }
         wake();
-        std::size_t const node = any(node_count);
+        std::size_t const node = random_below(node_count);
         loop_.stop(node);
-        step(std::chrono::milliseconds{any(6'000)});
+        step(std::chrono::milliseconds{random_below(6'000)});
         loop_.start(node);
         step(8s);
     }
 
-    void pause_one()
+    void pause_random_node()
     {
         wake();
-        paused_ = any(node_count);
-        loop_.pause(paused_);
+        paused_node_ = random_below(node_count);
+        loop_.pause(paused_node_);
     }
 
     void wake()
     {
-        if (paused_ < node_count)
+        if (paused_node_ < node_count)
         {
-            loop_.wake(paused_, any(2) == 0);
-            paused_ = node_count;
+            loop_.wake(paused_node_, random_below(2) == 0);
+            paused_node_ = node_count;
         }
     }
 
@@ -173,13 +174,13 @@
             return true;
         };
         loop_.platform.down = false;
-        loop_.platform.visible = UINT64_MAX;
-        loop_.platform.zones_cut.clear();
+        loop_.platform.visible_revision = UINT64_MAX;
+        loop_.platform.disconnected_zones.clear();
     }
 
     void step(state::duration time)
     {
-        checker_.calm = whole_ && loop_.loss == 0;
+        checker_.network_reliable = never_partitioned_ && loop_.loss == 0;
         checker_.step(time);
     }
 
@@ -188,10 +189,10 @@
     control_checker checker_;
     std::uint64_t revision_ = 10;
     std::uint64_t exchange_ = 0;
-    std::size_t cut_ = zone_count;
-    std::size_t paused_ = node_count;
+    std::size_t cut_zone_ = zone_count;
+    std::size_t paused_node_ = node_count;
     /// \brief No zone was cut off yet.
-    bool whole_ = true;
+    bool never_partitioned_ = true;
 };
 
 } // namespace plumdale::testing
--- a/tests/coordination/fleet_values.hpp
+++ b/tests/coordination/fleet_values.hpp
@@ -10,18 +10,18 @@
 
 inline state::preset_id preset_named(std::string const& name)
 {
-    return state::named<state::preset_id>(name);
+    return state::id_from_name<state::preset_id>(name);
 }
 
-inline state::key_digest operator_key(std::uint8_t number)
+inline state::sha256_digest operator_key(std::uint8_t number)
 {
-    state::key_digest key{};
+    state::sha256_digest key{};
     key[0] = number;
     return key;
 }
 
 /// \brief Publishes three presets, one customer and operators 1 to 3; `ordinary` is in force.
-inline void publish_basics(fleet_loop& loop)
+inline void publish_base_configuration(fleet_loop& loop)
 {
     auto const text = [](std::string value)
     {
@@ -37,7 +37,7 @@
     }
     state::customer customer;
     customer.name = "frescura";
-    customer.id = state::named<state::customer_id>(customer.name);
+    customer.id = state::id_from_name<state::customer_id>(customer.name);
     loop.publish(4, customers_published{4, {customer}, text("customers")});
     std::vector<state::operator_account> operators;
     for (std::uint8_t i = 1; i <= 3; ++i)
--- a/tests/coordination/policy_fixture.hpp
+++ b/tests/coordination/policy_fixture.hpp
@@ -10,9 +10,9 @@
 namespace plumdale::coordination::testing
 {
 
-inline constexpr state::model_id lists = state::named<state::model_id>("lists");
-inline constexpr state::zone_id zone_a = state::named<state::zone_id>("a");
-inline constexpr state::zone_id zone_b = state::named<state::zone_id>("b");
+inline constexpr state::model_id lists = state::id_from_name<state::model_id>("lists");
+inline constexpr state::zone_id zone_a = state::id_from_name<state::zone_id>("a");
+inline constexpr state::zone_id zone_b = state::id_from_name<state::zone_id>("b");
 
 inline state::time_point at(double seconds)
 {
@@ -59,7 +59,7 @@
     return request;
 }
 
-inline dispatch_question first_try(state::request const& request, state::time_point now)
+inline dispatch_attempt first_attempt(state::request const& request, state::time_point now)
 {
     return {request, now, 0, {}};
 }
--- a/tests/coordination/one_shard.hpp
+++ b/tests/coordination/shard_fixture.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <plumdale/coordination/identity.hpp>
+#include <plumdale/coordination/identity_signer.hpp>
 #include <plumdale/coordination/request_shard.hpp>
 
 #include <algorithm>
@@ -21,24 +21,24 @@
 using namespace std::chrono_literals;
 
 /// \brief Dispatches to the first upstream, unless told to wait.
-class told_policy final : public dispatch_policy
+class stub_policy final : public dispatch_policy
 {
 public:
-    explicit told_policy(bool const& waits) : waits_{waits} {}
+    explicit stub_policy(bool const& waits) : waits_{waits} {}
 
-    dispatch_decision decide(dispatch_question const& question, fleet_snapshot const& fleet,
+    dispatch_decision decide(dispatch_attempt const& attempt, fleet_snapshot const& fleet,
                              state::time_point now) override
     {
         dispatch_decision decision;
         for (upstream_view const& view : fleet.upstreams)
         {
-            bool const failed = std::find(question.failed.begin(), question.failed.end(),
-                                          view.info.id) != question.failed.end();
+            bool const failed = std::find(attempt.failed.begin(), attempt.failed.end(),
+                                          view.info.id) != attempt.failed.end();
             if (!failed && view.accepting)
             {
                 decision.upstream = &view;
                 decision.verdict = waits_ ? dispatch_verdict::wait : dispatch_verdict::dispatch;
-                decision.ask_again = now + 100ms;
+                decision.reevaluate_at = now + 100ms;
                 return decision;
             }
         }
@@ -64,12 +64,12 @@
 };
 
 /// \brief A shard of VM 1, two upstreams, and the actions of the last event.
-struct one_shard
+struct shard_fixture
 {
-    one_shard()
+    shard_fixture()
     {
         settings.self.id = {1};
-        settings.self.uptime = {1};
+        settings.self.incarnation_number = {1};
         settings.fleet_key = "an example fleet key";
         settings.key_takeover_delay = 0s;
         view.ready = true;
@@ -86,8 +86,8 @@
         }
         publish();
         shard = std::make_unique<request_shard>(shard_context{settings, signer, fleet, in_flight},
-                                                0, std::make_unique<told_policy>(waits));
-        tell(deadline_reached{});
+                                                0, std::make_unique<stub_policy>(waits));
+        send(deadline_reached{});
     }
 
     void publish()
@@ -95,28 +95,28 @@
         fleet.publish(std::make_shared<fleet_snapshot const>(view));
     }
 
-    void tell(request_event const& event)
+    void send(request_event const& event)
     {
         actions.clear();
         shard->handle(event, now, actions);
     }
 
     /// \brief Lets time pass, keeping every deadline; the actions of all of them stay.
-    void pass(state::duration time)
+    void advance(state::duration time)
     {
         state::time_point const end = now + time;
         request_actions all;
         while (shard->next_deadline() <= end)
         {
             now = std::max(now, shard->next_deadline());
-            tell(deadline_reached{});
+            send(deadline_reached{});
             std::move(actions.begin(), actions.end(), std::back_inserter(all));
         }
         now = end;
         actions = std::move(all);
     }
 
-    [[nodiscard]] state::request run(state::work_kind kind, bool repeatable) const
+    [[nodiscard]] state::request run_request(state::work_kind kind, bool repeatable) const
     {
         state::request request;
         request.model = model;
@@ -128,7 +128,7 @@
 
     /// \brief Returns the last action of a type, or null.
     template <class Action>
-    [[nodiscard]] Action const* last() const
+    [[nodiscard]] Action const* last_action() const
     {
         for (auto each = actions.rbegin(); each != actions.rend(); ++each)
         {
--- a/tests/coordination/test_spread_tree.cpp
+++ b/tests/coordination/test_broadcast_tree.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/coordination/spread_tree.hpp>
+#include <plumdale/coordination/broadcast_tree.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -26,45 +26,45 @@
     return nodes;
 }
 
-struct spread_result
+struct broadcast_result
 {
     std::map<std::uint64_t, int> received;
-    std::size_t most_sent = 0;
+    std::size_t max_sent = 0;
     int steps = 0;
 };
 
 /// \brief Spreads a message from the first VM; those in `dead` pass nothing on, and of a thousand
 /// datagrams `lost` are lost.
-spread_result spread(std::vector<state::node_id> const& nodes, std::uint64_t message,
-                     std::vector<state::node_id> const& dead, std::uint32_t lost = 0)
+broadcast_result broadcast(std::vector<state::node_id> const& nodes, std::uint64_t message,
+                           std::vector<state::node_id> const& dead, std::uint32_t lost = 0)
 {
     std::minstd_rand random{static_cast<std::uint32_t>(message)};
     struct holder
     {
-        spread_range range;
+        broadcast_range range;
         int step = 0;
     };
-    spread_result result;
+    broadcast_result result;
     std::deque<holder> holders{{{nodes.front()}, 0}};
     while (!holders.empty())
     {
         holder const from = holders.front();
         holders.pop_front();
-        auto const branches = branches_of(from.range, message, nodes, usual_fan_out);
-        result.most_sent = std::max(result.most_sent, branches.size());
-        for (spread_branch const& branch : branches)
+        auto const branches = branches_of(from.range, message, nodes, tree_fan_out);
+        result.max_sent = std::max(result.max_sent, branches.size());
+        for (broadcast_branch const& branch : branches)
         {
             if (random() % 1'000 < lost)
             {
                 continue;
             }
-            ++result.received[branch.head.value];
+            ++result.received[branch.receiver.value];
             result.steps = std::max(result.steps, from.step + 1);
-            bool const passes_on =
-                branch.has_rest && std::find(dead.begin(), dead.end(), branch.head) == dead.end();
+            bool const passes_on = branch.has_subrange && std::find(dead.begin(), dead.end(),
+                                                                    branch.receiver) == dead.end();
             if (passes_on)
             {
-                holders.push_back({branch.rest, from.step + 1});
+                holders.push_back({branch.subrange, from.step + 1});
             }
         }
     }
@@ -80,11 +80,11 @@
 {
     for (std::uint64_t message = 1; message <= 20; ++message)
     {
-        spread_result const result = spread(fleet(fleet_size), message, {});
+        broadcast_result const result = broadcast(fleet(fleet_size), message, {});
         CHECK(result.received.size() == fleet_size - 1);
         CHECK(std::all_of(result.received.begin(), result.received.end(),
                           [](auto const& each) { return each.second == 1; }));
-        CHECK(result.most_sent <= usual_fan_out);
+        CHECK(result.max_sent <= tree_fan_out);
         CHECK(result.steps <= 5);
     }
 }
@@ -93,7 +93,7 @@
 {
     for (std::size_t size = 2; size <= 20; ++size)
     {
-        CHECK(spread(fleet(size), 1, {}).received.size() == size - 1);
+        CHECK(broadcast(fleet(size), 1, {}).received.size() == size - 1);
     }
 }
 
@@ -102,13 +102,13 @@
 TEST_CASE("places change from message to message", "[spread_tree]")
 {
     std::vector<state::node_id> const nodes = fleet(fleet_size);
-    auto const first = branches_of({nodes.front()}, 1, nodes, usual_fan_out);
-    REQUIRE(first.size() == usual_fan_out);
-    std::vector<state::node_id> const dead{first.front().head};
+    auto const first = branches_of({nodes.front()}, 1, nodes, tree_fan_out);
+    REQUIRE(first.size() == tree_fan_out);
+    std::vector<state::node_id> const dead{first.front().receiver};
     std::map<std::uint64_t, int> missed;
     for (std::uint64_t message = 1; message <= 20; ++message)
     {
-        auto const received = spread(nodes, message, dead).received;
+        auto const received = broadcast(nodes, message, dead).received;
         for (state::node_id const node : nodes)
         {
             missed[node.value] += received.contains(node.value) || node == nodes.front() ? 0 : 1;
@@ -123,8 +123,8 @@
 
 TEST_CASE("nobody is sent what the range does not hold", "[spread_tree]")
 {
-    CHECK(branches_of({state::node_id{1}, 5, 5}, 1, fleet(9), usual_fan_out).empty());
-    CHECK(branches_of({}, 1, {}, usual_fan_out).empty());
+    CHECK(branches_of({state::node_id{1}, 5, 5}, 1, fleet(9), tree_fan_out).empty());
+    CHECK(branches_of({}, 1, {}, tree_fan_out).empty());
 }
 
 // One datagram in a hundred is lost, and with it all that its receiver would have passed on. An
@@ -137,8 +137,8 @@
     constexpr std::uint64_t messages = 100;
     for (std::uint64_t message = 1; message <= messages; ++message)
     {
-        auto const first = spread(nodes, 2 * message, {}, 10).received;
-        auto const second = spread(nodes, 2 * message + 1, {}, 10).received;
+        auto const first = broadcast(nodes, 2 * message, {}, 10).received;
+        auto const second = broadcast(nodes, 2 * message + 1, {}, 10).received;
         for (state::node_id const node : nodes)
         {
             bool const has_it =
--- a/tests/coordination/test_cold_share.cpp
+++ b/tests/coordination/test_cold_upstream_limiter.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/coordination/member_choice.hpp>
+#include <plumdale/coordination/upstream_selector.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -20,7 +20,7 @@
 
 constexpr state::cold_limits limits{35.0, 1s};
 constexpr state::time_point began{100s};
-constexpr auto emptied = state::named<state::zone_id>("a");
+constexpr auto evacuated_zone = state::id_from_name<state::zone_id>("a");
 
 state::service lists()
 {
@@ -34,7 +34,7 @@
 
 state::node_id node(std::size_t index)
 {
-    return state::named<state::node_id>("vm-" + std::to_string(index));
+    return state::id_from_name<state::node_id>("vm-" + std::to_string(index));
 }
 
 /// \brief One entry VM that has known its peers for long.
@@ -47,11 +47,11 @@
     {
         for (std::size_t i = 0; i < vms; ++i)
         {
-            fleet_news news;
+            fleet_update news;
             news.sender = node(i);
-            news.uptime = state::incarnation{1};
+            news.incarnation_number = state::incarnation{1};
             news.sequence = 1;
-            fleet.hear(news, {}, 0, began - 10s);
+            fleet.apply_update(news, {}, 0, began - 10s);
         }
     }
 
@@ -63,7 +63,7 @@
         member.zone = zone;
         member.slots = 24;
         member.revision = 1;
-        directory.join(member, began - 10s);
+        directory.merge(member, began - 10s);
         state::member_key const key = state::key_of(member);
         ledger.add(key, {key, 1, tokens, tokens, 0});
     }
@@ -71,17 +71,17 @@
     std::minstd_rand random;
     service_directory directory;
     load_ledger ledger;
-    member_health health;
+    outlier_detector health;
     fleet_view fleet;
-    cold_share share;
+    cold_upstream_limiter share;
     upstream_limits limits;
-    member_choice choice;
+    upstream_selector choice;
 };
 
 using fleet_of_vms = std::vector<std::unique_ptr<entry_vm>>;
 
 // 44 upstreams in four zones, of which those of one have been emptied.
-fleet_of_vms crowded_fleet(std::size_t vms)
+fleet_of_vms loaded_fleet(std::size_t vms)
 {
     fleet_of_vms fleet;
     for (std::size_t i = 0; i < vms; ++i)
@@ -92,15 +92,15 @@
             std::string const zone(1, static_cast<char>('a' + upstream % 4));
             fleet.back()->list("i-" + std::to_string(upstream), zone, zone == "a" ? 0 : 9'000);
         }
-        fleet.back()->directory.evacuations().take({5, {{emptied, 5}}}, began - 5s);
-        fleet.back()->directory.completed();
+        fleet.back()->directory.evacuations().take({5, {{evacuated_zone, 5}}}, began - 5s);
+        fleet.back()->directory.mark_complete();
     }
     return fleet;
 }
 
 // Plays calls at `rate` a second over the fleet; returns the most arrivals in a second at one
 // upstream of the zone while it is cold.
-std::size_t most_arrivals(fleet_of_vms& fleet, int rate, state::duration time)
+std::size_t max_arrivals_per_second(fleet_of_vms& fleet, int rate, state::duration time)
 {
     state::service const service = lists();
     std::map<state::member_key, std::deque<state::time_point>> arrivals;
@@ -143,12 +143,12 @@
 {
     for (std::size_t const vms : {6U, 60U, 300U})
     {
-        fleet_of_vms fleet = crowded_fleet(vms);
+        fleet_of_vms fleet = loaded_fleet(vms);
         for (auto const& vm : fleet)
         {
             vm->directory.evacuations().take({9, {}}, began);
         }
-        std::size_t const most = most_arrivals(fleet, 1'200, limits.time);
+        std::size_t const most = max_arrivals_per_second(fleet, 1'200, limits.time);
         CAPTURE(vms);
         CHECK(most <= static_cast<std::size_t>(limits.requests_per_second));
         CHECK(most >= 5);
@@ -158,7 +158,7 @@
 // The zone went dark and comes back: nobody orders it, VMs find it reachable again.
 TEST_CASE("upstreams that were unreachable get what they bear while cold", "[cold_share][load]")
 {
-    fleet_of_vms fleet = crowded_fleet(300);
+    fleet_of_vms fleet = loaded_fleet(300);
     for (auto const& vm : fleet)
     {
         vm->directory.evacuations().take({6, {}}, began - 4s);
@@ -170,21 +170,21 @@
             }
         }
     }
-    CHECK(most_arrivals(fleet, 1'200, limits.time) <=
+    CHECK(max_arrivals_per_second(fleet, 1'200, limits.time) <=
           static_cast<std::size_t>(limits.requests_per_second));
 }
 
 // A tenth of the VMs hear nothing of the others, and share the same upstreams with them.
 TEST_CASE("VMs that are cut off from the others keep to their share", "[cold_share][load]")
 {
-    fleet_of_vms fleet = crowded_fleet(300);
+    fleet_of_vms fleet = loaded_fleet(300);
     for (std::size_t i = 0; i < fleet.size(); ++i)
     {
         fleet[i]->directory.evacuations().take({9, {}}, began);
         // Silent for a minute: still counted as sharing.
         fleet[i]->fleet.forget_silent(began + 60s);
     }
-    CHECK(most_arrivals(fleet, 1'200, limits.time) <=
+    CHECK(max_arrivals_per_second(fleet, 1'200, limits.time) <=
           static_cast<std::size_t>(limits.requests_per_second));
 }
 
@@ -192,14 +192,14 @@
 TEST_CASE("a VM that has just started sends nothing to a cold upstream", "[cold_share]")
 {
     fleet_view fleet{node(0)};
-    cold_share const share{fleet, node(0), began};
+    cold_upstream_limiter const share{fleet, node(0), began};
     state::member_key const member{1};
     CHECK_FALSE(share.may_send(member, limits, began + 900ms));
     CHECK(share.may_send(member, limits, began + 1s));
-    fleet_news news;
+    fleet_update news;
     news.sender = node(1);
     news.sequence = 1;
-    fleet.hear(news, {}, 0, began + 1s);
+    fleet.apply_update(news, {}, 0, began + 1s);
     CHECK_FALSE(share.may_send(member, limits, began + 1'900ms));
     CHECK(share.may_send(member, limits, began + 2s));
 }
@@ -220,18 +220,18 @@
     again.cold_ms = 700;
     again.revision = 2;
     // Told to peers: they don't read its entry.
-    CHECK(vm.directory.join(again, began) == directory_change::cold);
+    CHECK(vm.directory.merge(again, began) == directory_change::cold);
     CHECK(vm.directory.find(key)->info.cold_ms == 700);
     again.revision = 3;
     again.cold_ms = 300;
-    CHECK(vm.directory.join(again, began + 400ms) == directory_change::none);
+    CHECK(vm.directory.merge(again, began + 400ms) == directory_change::none);
     CHECK(is_cold(began + 699ms));
     CHECK_FALSE(is_cold(began + 700ms));
     vm.directory.note_cold(key, 2s, began);
     CHECK(is_cold(began + 1'999ms));
     // Damage: it would get next to nothing for weeks.
     vm.directory.note_cold(key, 1'000h, began);
-    CHECK_FALSE(is_cold(began + service_directory::longest_cold));
+    CHECK_FALSE(is_cold(began + service_directory::max_cold_time));
     state::service plain = lists();
     plain.cold.reset();
     CHECK_FALSE(vm.choice.is_cold(*vm.directory.find(key), plain, began));
--- a/tests/coordination/test_configuration_catch_up.cpp
+++ b/tests/coordination/test_configuration_catch_up.cpp
@@ -15,11 +15,11 @@
 constexpr state::time_point start{10s};
 constexpr state::duration interval = 1s;
 
-/// \brief Returns when `due` first names a source, looked at each 10 ms.
-state::time_point first_asked(configuration_catch_up& catch_up, state::time_point from)
+/// \brief Returns when `next_source` first names a source, looked at each 10 ms.
+state::time_point first_request_at(configuration_catch_up& catch_up, state::time_point from)
 {
     state::time_point now = from;
-    while (catch_up.due(1, now) == configuration_source::none && now < from + 20s)
+    while (catch_up.next_source(1, now) == configuration_source::none && now < from + 20s)
     {
         now += 10ms;
     }
@@ -37,9 +37,9 @@
     for (int vm = 0; vm < 300; ++vm)
     {
         configuration_catch_up catch_up{random};
-        catch_up.heard_of(2, 1, interval, start);
-        CHECK(catch_up.due(1, start + interval / 2 - 20ms) == configuration_source::none);
-        CHECK(catch_up.due(2, start + 5s) == configuration_source::none);
+        catch_up.note_peer_version(2, 1, interval, start);
+        CHECK(catch_up.next_source(1, start + interval / 2 - 20ms) == configuration_source::none);
+        CHECK(catch_up.next_source(2, start + 5s) == configuration_source::none);
     }
 }
 
@@ -50,8 +50,8 @@
     for (int vm = 0; vm < 300; ++vm)
     {
         configuration_catch_up catch_up{random};
-        catch_up.heard_of(2, 1, interval, start);
-        asked.push_back(first_asked(catch_up, start));
+        catch_up.note_peer_version(2, 1, interval, start);
+        asked.push_back(first_request_at(catch_up, start));
     }
     CHECK(*std::max_element(asked.begin(), asked.end()) <= start + interval + 10ms);
     for (state::time_point const at : asked)
@@ -67,29 +67,30 @@
     std::minstd_rand random{7};
     configuration_catch_up catch_up{random};
     state::time_point now = start;
-    catch_up.heard_of(2, 1, interval, now);
-    for (std::uint32_t peer = 0; peer < configuration_catch_up::peers_asked; ++peer)
+    catch_up.note_peer_version(2, 1, interval, now);
+    for (std::uint32_t peer = 0; peer < configuration_catch_up::max_peer_attempts; ++peer)
     {
-        now = first_asked(catch_up, now);
-        // `first_asked` took the answer of `due`; what it named is asked until it fails.
-        CHECK(catch_up.due(1, now) == configuration_source::none);
+        now = first_request_at(catch_up, now);
+        // `first_request_at` took the answer of `next_source`; what it named is asked until it
+        // fails.
+        CHECK(catch_up.next_source(1, now) == configuration_source::none);
         catch_up.failed(now);
     }
-    now += configuration_catch_up::retry;
-    CHECK(catch_up.due(1, now) == configuration_source::store);
+    now += configuration_catch_up::retry_delay;
+    CHECK(catch_up.next_source(1, now) == configuration_source::store);
 }
 
 TEST_CASE("a question that is never answered counts as failed", "[configuration_catch_up]")
 {
     std::minstd_rand random{7};
     configuration_catch_up catch_up{random};
-    catch_up.heard_of(2, 1, interval, start);
+    catch_up.note_peer_version(2, 1, interval, start);
     state::time_point now = start + interval;
-    CHECK(catch_up.due(1, now) == configuration_source::peer);
-    now += configuration_catch_up::answer_time;
-    CHECK(catch_up.due(1, now) == configuration_source::peer);
-    now += configuration_catch_up::answer_time;
-    CHECK(catch_up.due(1, now) == configuration_source::store);
+    CHECK(catch_up.next_source(1, now) == configuration_source::peer);
+    now += configuration_catch_up::answer_timeout;
+    CHECK(catch_up.next_source(1, now) == configuration_source::peer);
+    now += configuration_catch_up::answer_timeout;
+    CHECK(catch_up.next_source(1, now) == configuration_source::store);
 }
 
 TEST_CASE("a later version does not put the question off", "[configuration_catch_up]")
@@ -98,7 +99,7 @@
     configuration_catch_up catch_up{random};
     for (std::uint64_t step = 0; step < 10; ++step)
     {
-        catch_up.heard_of(2 + step, 1, interval, start + step * 100ms);
+        catch_up.note_peer_version(2 + step, 1, interval, start + step * 100ms);
     }
-    CHECK(catch_up.due(1, start + interval) == configuration_source::peer);
+    CHECK(catch_up.next_source(1, start + interval) == configuration_source::peer);
 }
--- a/tests/coordination/test_copy_schedule.cpp
+++ b/tests/coordination/test_copy_schedule.cpp
@@ -22,8 +22,8 @@
 TEST_CASE("a copy takes the link's time, twice that to another zone", "[copy_schedule]")
 {
     // 3,000 tokens of 131,072 bytes at 19,000 Mbit/s are 165.6 ms.
-    auto const near = copy_time(engine(), 3'000, false);
-    auto const far = copy_time(engine(), 3'000, true);
+    auto const near = copy_duration(engine(), 3'000, false);
+    auto const far = copy_duration(engine(), 3'000, true);
     CHECK(near > 165ms);
     CHECK(near < 175ms);
     CHECK(far > 330ms);
@@ -38,8 +38,8 @@
           "[copy_schedule][load]")
 {
     departure const leaving{state::time_point{100s}, state::time_point{102s}};
-    copy_times const times = copy_times_for(leaving, engine(), 21'000, 6);
-    CHECK(times.refresh_at > leaving.learnt_at + copy_time(engine(), 21'000, false));
+    copy_schedule const times = schedule_copies(leaving, engine(), 21'000, 6);
+    CHECK(times.refresh_at > leaving.learnt_at + copy_duration(engine(), 21'000, false));
     CHECK(times.refresh_at < *leaving.leaves_at);
     CHECK(times.last_at > *leaving.leaves_at);
 }
@@ -48,17 +48,17 @@
 TEST_CASE("last copies wait for the first ones of all entry VMs", "[copy_schedule][load]")
 {
     departure const leaving{state::time_point{100s}, std::nullopt};
-    copy_times const times = copy_times_for(leaving, engine(), 12'000, 4);
+    copy_schedule const times = schedule_copies(leaving, engine(), 12'000, 4);
     CHECK(times.refresh_at == state::never);
-    CHECK(times.last_at >= leaving.learnt_at + copy_time(engine(), 12'000, false));
-    CHECK(times.last_at + departure_margin <= gone_at(leaving));
+    CHECK(times.last_at >= leaving.learnt_at + copy_duration(engine(), 12'000, false));
+    CHECK(times.last_at + departure_margin <= departure_time(leaving));
 }
 
 TEST_CASE("last copies wait until a report may have told the departure", "[copy_schedule]")
 {
     departure const leaving{state::time_point{100s}, std::nullopt};
-    CHECK(copy_times_for(leaving, engine(), 2'000, 1).last_at ==
-          leaving.learnt_at + departure_answer);
+    CHECK(schedule_copies(leaving, engine(), 2'000, 1).last_at ==
+          leaving.learnt_at + departure_report_delay);
 }
 
 // An upstream drains for ten seconds and says so. A first copy that waited for its end would be
@@ -66,7 +66,7 @@
 TEST_CASE("copies don't wait for a departure beyond their lifetime", "[copy_schedule]")
 {
     departure const leaving{state::time_point{100s}, state::time_point{110s}};
-    copy_times const times = copy_times_for(leaving, engine(), 3'000, 1);
+    copy_schedule const times = schedule_copies(leaving, engine(), 3'000, 1);
     CHECK(times.refresh_at == state::never);
     CHECK(times.last_at < leaving.learnt_at + engine().copy_lifetime / 2);
 }
@@ -74,7 +74,7 @@
 TEST_CASE("an unknown departure is taken for the shortest notice", "[copy_schedule]")
 {
     departure const leaving{state::time_point{100s}, std::nullopt};
-    copy_times const times = copy_times_for(leaving, engine(), 60'000, 15);
-    CHECK(times.last_at < leaving.learnt_at + shortest_notice - notice_delay);
-    CHECK(gone_at(leaving) == leaving.learnt_at + shortest_notice - notice_delay);
+    copy_schedule const times = schedule_copies(leaving, engine(), 60'000, 15);
+    CHECK(times.last_at < leaving.learnt_at + min_notice - max_notice_delay);
+    CHECK(departure_time(leaving) == leaving.learnt_at + min_notice - max_notice_delay);
 }
--- a/tests/coordination/test_customer_shares.cpp
+++ b/tests/coordination/test_customer_shares.cpp
@@ -32,32 +32,32 @@
 {
     customer_shares shares;
     auto const customers = two_customers();
-    shares.use(customers, 8);
+    shares.configure(customers, 8);
     for (int i = 0; i < 100; ++i)
     {
         shares.refresh(at(0.5 * i));
-        shares.asked(large, draft, 9000);
-        shares.asked(modest, draft, 300);
+        shares.requested(large, draft, 9000);
+        shares.requested(modest, draft, 300);
         shares.granted(large, 700);
         shares.granted(modest, 300);
     }
-    CHECK(shares.standing(large, draft) == customer_standing::over_share);
-    CHECK(shares.standing(large, question) == customer_standing::within_share);
-    CHECK(shares.standing(modest, draft) == customer_standing::within_share);
+    CHECK(shares.status(large, draft) == share_status::over_share);
+    CHECK(shares.status(large, question) == share_status::within_share);
+    CHECK(shares.status(modest, draft) == share_status::within_share);
 }
 
 TEST_CASE("while all demand is met nobody is over a share", "[customer_shares]")
 {
     customer_shares shares;
     auto const customers = two_customers();
-    shares.use(customers, 8);
+    shares.configure(customers, 8);
     for (int i = 0; i < 100; ++i)
     {
         shares.refresh(at(0.5 * i));
-        shares.asked(large, draft, 9000);
+        shares.requested(large, draft, 9000);
         shares.granted(large, 9000);
     }
-    CHECK(shares.standing(large, draft) == customer_standing::within_share);
+    CHECK(shares.status(large, draft) == share_status::within_share);
 }
 
 TEST_CASE("weights move the shares", "[customer_shares]")
@@ -65,17 +65,17 @@
     customer_shares shares;
     auto customers = two_customers();
     customers[0].weight = 9.0;
-    shares.use(customers, 1);
+    shares.configure(customers, 1);
     for (int i = 0; i < 100; ++i)
     {
         shares.refresh(at(0.5 * i));
-        shares.asked(large, draft, 800);
-        shares.asked(modest, draft, 800);
+        shares.requested(large, draft, 800);
+        shares.requested(modest, draft, 800);
         shares.granted(large, 800);
         shares.granted(modest, 200);
     }
-    CHECK(shares.standing(large, draft) == customer_standing::within_share);
-    CHECK(shares.standing(modest, draft) == customer_standing::over_share);
+    CHECK(shares.status(large, draft) == share_status::within_share);
+    CHECK(shares.status(modest, draft) == share_status::over_share);
 }
 
 TEST_CASE("hard limits are divided by the deciders, rounded up", "[customer_shares]")
@@ -84,18 +84,18 @@
     auto customers = two_customers();
     customers[0].in_flight_limit = 10;
     customers[1].token_rate_limit = 800.0;
-    shares.use(customers, 8);
+    shares.configure(customers, 8);
     shares.refresh(at(0));
     shares.refresh(at(10));
     shares.granted(large, 1);
-    CHECK(shares.standing(large, draft) == customer_standing::within_share);
+    CHECK(shares.status(large, draft) == share_status::within_share);
     shares.granted(large, 1);
-    CHECK(shares.standing(large, draft) == customer_standing::over_limit);
+    CHECK(shares.status(large, draft) == share_status::over_limit);
     shares.ended(large, 1, 1);
-    CHECK(shares.standing(large, draft) == customer_standing::within_share);
+    CHECK(shares.status(large, draft) == share_status::within_share);
 
     shares.granted(modest, 600); // 100 a second here, 500 at once.
-    CHECK(shares.standing(modest, draft) == customer_standing::over_limit);
+    CHECK(shares.status(modest, draft) == share_status::over_limit);
     shares.refresh(at(12));
-    CHECK(shares.standing(modest, draft) == customer_standing::within_share);
+    CHECK(shares.status(modest, draft) == share_status::within_share);
 }
--- a/tests/coordination/test_drain.cpp
+++ b/tests/coordination/test_drain.cpp
@@ -13,7 +13,7 @@
     auto const waits = [](node_settings const& settings)
     {
         fleet_loop loop{3, 1, 1, settings};
-        publish_basics(loop);
+        publish_base_configuration(loop);
         loop.run_for(8s);
         node_model& node = loop.nodes()[1];
         node.in_flight->store(2);
@@ -37,7 +37,7 @@
 TEST_CASE("a second request to drain does not cut", "[drain]")
 {
     fleet_loop loop{3, 1, 2};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(8s);
     loop.nodes()[1].in_flight->store(1);
     loop.send(1, drain_requested{});
@@ -50,9 +50,9 @@
 TEST_CASE("a drain ends at its bound", "[drain]")
 {
     node_settings settings;
-    settings.drain_bound = 5s;
+    settings.drain_limit = 5s;
     fleet_loop loop{3, 1, 3, settings};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(8s);
     loop.nodes()[1].in_flight->store(1);
     loop.send(1, drain_requested{});
@@ -66,7 +66,7 @@
 TEST_CASE("peers see that an entry VM drains", "[drain]")
 {
     fleet_loop loop{9, 3, 4};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(8s);
     loop.nodes()[1].in_flight->store(1);
     loop.send(1, drain_requested{});
--- a/tests/coordination/test_evacuation_orders.cpp
+++ b/tests/coordination/test_evacuation_orders.cpp
@@ -14,8 +14,8 @@
 {
 
 constexpr state::time_point now{10s};
-constexpr auto east = state::named<state::zone_id>("east");
-constexpr auto west = state::named<state::zone_id>("west");
+constexpr auto east = state::id_from_name<state::zone_id>("east");
+constexpr auto west = state::id_from_name<state::zone_id>("west");
 
 state::service_member upstream(std::string const& name, std::string const& zone)
 {
@@ -35,8 +35,8 @@
           "[evacuation_orders]")
 {
     service_directory directory;
-    directory.join(upstream("i-1", "east"), now);
-    directory.join(upstream("i-2", "west"), now);
+    directory.merge(upstream("i-1", "east"), now);
+    directory.merge(upstream("i-2", "west"), now);
     auto const takes_work = [&directory](std::string_view name)
     {
         return directory.may_take_work(*directory.find(state::key_of(name, {})), now);
@@ -56,16 +56,16 @@
     service_directory directory;
     directory.evacuations().take({7, {{east, 6}, {west, 7}}}, now);
     CHECK_FALSE(directory.is_wholly_evacuated("lists", now));
-    directory.join(upstream("i-1", "east"), now);
-    directory.join(upstream("i-2", "west"), now);
+    directory.merge(upstream("i-1", "east"), now);
+    directory.merge(upstream("i-2", "west"), now);
     CHECK(directory.is_wholly_evacuated("lists", now));
     state::service_member leaving = upstream("i-2", "west");
     leaving.leaving = true;
-    directory.join(leaving, now);
+    directory.merge(leaving, now);
     CHECK(directory.is_wholly_evacuated("lists", now));
     leaving = upstream("i-1", "east");
     leaving.leaving = true;
-    directory.join(leaving, now);
+    directory.merge(leaving, now);
     CHECK_FALSE(directory.is_wholly_evacuated("lists", now));
 }
 
@@ -90,9 +90,9 @@
     orders.take({20, {{east, 20}}}, now);
     std::array const late{state::evacuation_change{{east, 12}, false},
                           state::evacuation_change{{east, 15}, true}};
-    CHECK(orders.follow(late, 18, now).empty());
+    CHECK(orders.apply_changes(late, 18, now).empty());
     CHECK(orders.covers(east));
-    CHECK(orders.follow(late, 21, now).empty());
+    CHECK(orders.apply_changes(late, 21, now).empty());
     CHECK(orders.covers(east));
     CHECK(orders.known().as_of == 21);
 }
@@ -101,11 +101,11 @@
 {
     evacuation_orders orders;
     std::array const first{state::evacuation_change{{east, 2}, false}};
-    REQUIRE(orders.follow(first, 2, now).size() == 1);
+    REQUIRE(orders.apply_changes(first, 2, now).size() == 1);
     std::array const again{state::evacuation_change{{east, 3}, true},
                            state::evacuation_change{{west, 4}, false},
                            state::evacuation_change{{east, 5}, false}};
-    auto const changes = orders.follow(again, 6, now);
+    auto const changes = orders.apply_changes(again, 6, now);
     REQUIRE(changes.size() == 1);
     CHECK(changes.front().order.zone == west);
     CHECK(orders.covers(east));
--- a/tests/coordination/test_evidence_exchange.cpp
+++ b/tests/coordination/test_evidence_exchange.cpp
@@ -16,16 +16,16 @@
 {
 
 constexpr state::request_digest request{77};
-constexpr state::time_point began{100s};
+constexpr state::time_point start{100s};
 /// \brief A VM that hears its peers has to know within this.
-constexpr state::duration contact = 3s;
+constexpr state::duration contact_timeout = 3s;
 
 /// \brief One entry VM: what it knows, and when it next tells all.
 struct entry_vm
 {
     request_quarantine quarantine;
     evidence_exchange exchange;
-    state::time_point tells_at{};
+    state::time_point sends_at{};
 };
 
 /// \brief A fleet in virtual time whose datagrams get lost.
@@ -33,12 +33,12 @@
 {
     lossy_fleet(std::size_t count, unsigned seed) : random{seed}, vms(count)
     {
-        interval = std::max<state::duration>(fleet_view::least_interval,
+        interval = std::max<state::duration>(fleet_view::min_interval,
                                              static_cast<std::int64_t>(count) *
-                                                 fleet_view::calm_interval_each);
+                                                 fleet_view::follower_interval_per_peer);
         for (entry_vm& vm : vms)
         {
-            vm.tells_at = began + state::duration{static_cast<state::duration::rep>(
+            vm.sends_at = start + state::duration{static_cast<state::duration::rep>(
                                       random() % static_cast<std::uint64_t>(interval.count()))};
         }
     }
@@ -48,45 +48,45 @@
         return random() % 100 >= 5;
     }
 
-    void hear(entry_vm& from, entry_vm& at, bool is_question, state::time_point now)
+    void apply_update(entry_vm& from, entry_vm& at, bool is_request, state::time_point now)
     {
         if (!arrives())
         {
             return;
         }
         evidence_answer const answer =
-            at.exchange.heard({at.quarantine.digest(), from.quarantine.digest(), is_question,
-                               vms.size() - 1, random()},
-                              now);
-        if (answer.tells && arrives())
+            at.exchange.received({at.quarantine.digest(), from.quarantine.digest(), is_request,
+                                  vms.size() - 1, random()},
+                                 now);
+        if (answer.should_send && arrives())
         {
-            ++told;
+            ++sent_count;
             for (request_evidence const& each : at.quarantine.evidence(96, now))
             {
-                from.quarantine.hear(each, now);
+                from.quarantine.apply_update(each, now);
             }
         }
-        if (answer.asks)
+        if (answer.should_request)
         {
-            ++asked;
-            hear(at, from, true, now);
+            ++request_count;
+            apply_update(at, from, true, now);
         }
     }
 
-    void play(state::duration time)
+    void run(state::duration time)
     {
-        for (state::time_point now = began; now < began + time; now += 10ms)
+        for (state::time_point now = start; now < start + time; now += 10ms)
         {
             for (entry_vm& vm : vms)
             {
-                if (now >= vm.tells_at)
+                if (now >= vm.sends_at)
                 {
-                    vm.tells_at += interval;
+                    vm.sends_at += interval;
                     for (entry_vm& other : vms)
                     {
                         if (&other != &vm)
                         {
-                            hear(vm, other, false, now);
+                            apply_update(vm, other, false, now);
                         }
                     }
                 }
@@ -94,7 +94,7 @@
         }
     }
 
-    [[nodiscard]] std::size_t knowing(state::time_point now)
+    [[nodiscard]] std::size_t informed_count(state::time_point now)
     {
         return static_cast<std::size_t>(
             std::count_if(vms.begin(), vms.end(),
@@ -104,8 +104,8 @@
     std::mt19937_64 random;
     std::vector<entry_vm> vms;
     state::duration interval{};
-    std::size_t told = 0;
-    std::size_t asked = 0;
+    std::size_t sent_count = 0;
+    std::size_t request_count = 0;
 };
 
 } // namespace
@@ -124,15 +124,17 @@
                 // A tenth of them, one at least, knows nothing.
                 if (i % 10 != 0)
                 {
-                    fleet.vms[i].quarantine.hear({request, state::member_key{1}, 0s}, began);
-                    fleet.vms[i].quarantine.hear({request, state::member_key{2}, 0s}, began);
+                    fleet.vms[i].quarantine.apply_update({request, state::member_key{1}, 0s},
+                                                         start);
+                    fleet.vms[i].quarantine.apply_update({request, state::member_key{2}, 0s},
+                                                         start);
                 }
             }
-            fleet.play(contact);
-            CAPTURE(count, seed, fleet.told, fleet.asked);
-            CHECK(fleet.knowing(began + contact) == count);
+            fleet.run(contact_timeout);
+            CAPTURE(count, seed, fleet.sent_count, fleet.request_count);
+            CHECK(fleet.informed_count(start + contact_timeout) == count);
             // Some messages for each one that lacked it, whatever the size.
-            CHECK(fleet.told <= 8 * (count / 10 + 1) + 10);
+            CHECK(fleet.sent_count <= 8 * (count / 10 + 1) + 10);
         }
     }
 }
@@ -142,11 +144,13 @@
     evidence_exchange exchange;
     for (int i = 0; i < 100; ++i)
     {
-        evidence_answer const answer = exchange.heard({7, 7, false, 300, 0}, began + i * 100ms);
-        CHECK_FALSE((answer.asks || answer.tells));
+        evidence_answer const answer = exchange.received({7, 7, false, 300, 0}, start + i * 100ms);
+        CHECK_FALSE((answer.should_request || answer.should_send));
     }
     // News that are still under way are no loss.
-    CHECK_FALSE(exchange.heard({7, 8, false, 300, 5}, began + 10s).asks);
-    CHECK(exchange.heard({7, 8, false, 300, 5}, began + 10s + evidence_exchange::settling).asks);
-    CHECK(exchange.heard({7, 8, true, 300, 299}, began + 11s).tells);
+    CHECK_FALSE(exchange.received({7, 8, false, 300, 5}, start + 10s).should_request);
+    CHECK(
+        exchange.received({7, 8, false, 300, 5}, start + 10s + evidence_exchange::propagation_time)
+            .should_request);
+    CHECK(exchange.received({7, 8, true, 300, 299}, start + 11s).should_send);
 }
--- a/tests/coordination/test_fair_queue.cpp
+++ b/tests/coordination/test_fair_queue.cpp
@@ -18,8 +18,8 @@
 TEST_CASE("customers take turns, and each keeps its own order", "[fair_queue]")
 {
     fair_queue queue;
-    fair_queue::lane const large{{1}, state::work_kind::draft, {9}};
-    fair_queue::lane const small{{2}, state::work_kind::draft, {9}};
+    fair_queue::flow_key const large{{1}, state::work_kind::draft, {9}};
+    fair_queue::flow_key const small{{2}, state::work_kind::draft, {9}};
     for (std::uint64_t i = 1; i <= 100; ++i)
     {
         queue.push(large, numbered(i));
