--- a/tests/coordination/test_fault_matrix.cpp
+++ b/tests/coordination/test_fault_matrix.cpp
@@ -13,21 +13,22 @@
 {
 
 /// \brief Runs a cell until a seed breaks a promise; returns the number of seeds that did not.
-std::uint64_t seeds_before_failure(cell const& each, safeguard_set safeguards, std::uint64_t most)
+std::uint64_t seeds_before_failure(cell const& each, safeguard_set safeguards,
+                                   std::uint64_t max_seeds)
 {
-    for (std::uint64_t seed = 1; seed <= most; ++seed)
+    for (std::uint64_t seed = 1; seed <= max_seeds; ++seed)
     {
         if (!each.run(seed, safeguards).empty())
         {
             return seed - 1;
         }
     }
-    return most;
+    return max_seeds;
 }
 
 void check_guards(std::vector<cell> const& cells, std::vector<guarded_cell> const& guards)
 {
-    constexpr std::uint64_t most = 400;
+    constexpr std::uint64_t max_seeds = 400;
     for (guarded_cell const& each : guards)
     {
         CAPTURE(safeguard_name(each.guard), each.step, each.fault);
@@ -37,10 +38,10 @@
                          { return candidate.step == each.step && candidate.fault == each.fault; });
         REQUIRE(found != cells.end());
         std::uint64_t const held =
-            seeds_before_failure(*found, safeguard_set{}.without(each.guard), most);
-        CHECK(held < most);
-        CHECK(seeds_before_failure(*found, {}, std::min(held + 1, most)) ==
-              std::min(held + 1, most));
+            seeds_before_failure(*found, safeguard_set{}.without(each.guard), max_seeds);
+        CHECK(held < max_seeds);
+        CHECK(seeds_before_failure(*found, {}, std::min(held + 1, max_seeds)) ==
+              std::min(held + 1, max_seeds));
     }
 }
 
--- a/tests/coordination/test_repeat_allowance.cpp
+++ b/tests/coordination/test_fleet_retry_budget.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/coordination/repeat_allowance.hpp>
+#include <plumdale/coordination/fleet_retry_budget.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -9,14 +9,14 @@
 namespace
 {
 
-constexpr allowance_terms terms{0.2, 45.0, 10s};
+constexpr fleet_retry_limit limit{0.2, 45.0, 10s};
 
 } // namespace
 
 TEST_CASE("repeats stay a share of the calls plus this VM's part of the slack",
           "[repeat_allowance]")
 {
-    repeat_allowance allowance{terms};
+    fleet_retry_budget allowance{limit};
     state::time_point const now{100s};
     for (int i = 0; i < 100; ++i)
     {
@@ -35,7 +35,7 @@
 // The fleet's bound holds in each window because each VM holds its part in each window.
 TEST_CASE("the bound holds in every window of a storm", "[repeat_allowance][load]")
 {
-    repeat_allowance allowance{terms};
+    fleet_retry_budget allowance{limit};
     state::time_point now{100s};
     int calls = 0;
     int granted = 0;
@@ -46,13 +46,13 @@
         ++calls;
         granted += allowance.take(now, 9) ? 1 : 0;
     }
-    CHECK(granted <= terms.ratio * calls + terms.slack / 9);
-    CHECK(granted >= repeat_allowance::used_part * terms.ratio * calls);
+    CHECK(granted <= limit.ratio * calls + limit.slack / 9);
+    CHECK(granted >= fleet_retry_budget::used_fraction * limit.ratio * calls);
 }
 
 TEST_CASE("what was spent comes back when the window has passed", "[repeat_allowance]")
 {
-    repeat_allowance allowance{terms};
+    fleet_retry_budget allowance{limit};
     state::time_point const now{100s};
     while (allowance.take(now, 1))
     {
--- a/tests/coordination/test_fleet_seeds.cpp
+++ b/tests/coordination/test_fleet_seeds.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::uint64_t seeds_here = 150;
+constexpr std::uint64_t seed_count = 150;
 
 [[nodiscard]] violations run_seeds(node_settings const& settings, std::uint64_t seeds)
 {
@@ -20,10 +20,10 @@
         sum.served_old += found.served_old;
         sum.lost_switches += found.lost_switches;
         sum.divergence += found.divergence;
-        sum.leaving_work += found.leaving_work;
+        sum.leaving_offered += found.leaving_offered;
         sum.late_marks += found.late_marks;
-        sum.member_faults += found.member_faults;
-        sum.silent_answers += found.silent_answers;
+        sum.members_not_alive += found.members_not_alive;
+        sum.missing_or_repeated_answers += found.missing_or_repeated_answers;
     }
     return sum;
 }
@@ -32,7 +32,7 @@
 {
     node_settings settings;
     settings.safeguards = settings.safeguards.without(which);
-    return run_seeds(settings, seeds_here);
+    return run_seeds(settings, seed_count);
 }
 
 } // namespace
@@ -41,7 +41,7 @@
 // and an engine leaves. bench_fleet runs the same over many more seeds.
 TEST_CASE("small fleets keep their promises under random faults", "[fleet_seeds]")
 {
-    for (std::uint64_t seed = 1; seed <= seeds_here; ++seed)
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed)
     {
         CAPTURE(seed);
         violations const found = fleet_scenario{seed}.run();
@@ -49,10 +49,10 @@
         CHECK(found.served_old == 0);
         CHECK(found.lost_switches == 0);
         CHECK(found.divergence == 0);
-        CHECK(found.leaving_work == 0);
+        CHECK(found.leaving_offered == 0);
         CHECK(found.late_marks == 0);
-        CHECK(found.member_faults == 0);
-        CHECK(found.silent_answers == 0);
+        CHECK(found.members_not_alive == 0);
+        CHECK(found.missing_or_repeated_answers == 0);
     }
 }
 
--- a/tests/coordination/test_fleet_view.cpp
+++ b/tests/coordination/test_fleet_view.cpp
@@ -13,11 +13,12 @@
 namespace
 {
 
-fleet_news news_of(std::uint64_t sender, std::uint64_t sequence, std::uint32_t platform_age_ms)
+fleet_update update_from(std::uint64_t sender, std::uint64_t sequence,
+                         std::uint32_t platform_age_ms)
 {
-    fleet_news news;
+    fleet_update news;
     news.sender = state::node_id{sender};
-    news.uptime = state::incarnation{100};
+    news.incarnation_number = state::incarnation{100};
     news.sequence = sequence;
     news.platform_age_ms = platform_age_ms;
     news.whole = true;
@@ -41,12 +42,13 @@
         }
     }
 
-    void tell(std::uint64_t sender, std::uint32_t platform_age_ms, state::time_point now)
+    void send_update(std::uint64_t sender, std::uint32_t platform_age_ms, state::time_point now)
     {
         ++sequence_;
         for (fleet_view& view : views_)
         {
-            view.hear(news_of(sender, sequence_, platform_age_ms), streams_of(sender), 0, now);
+            view.apply_update(update_from(sender, sequence_, platform_age_ms), streams_of(sender),
+                              0, now);
         }
     }
 
@@ -55,7 +57,7 @@
         std::vector<std::uint64_t> nodes;
         for (std::uint64_t node = 1; node <= views_.size(); ++node)
         {
-            if (views_[node - 1].decide_duty(now))
+            if (views_[node - 1].update_reader_role(now))
             {
                 nodes.push_back(node);
             }
@@ -68,11 +70,11 @@
     std::uint64_t sequence_ = 0;
 };
 
-void tell_all(small_fleet& fleet, std::size_t size, state::time_point now)
+void send_all_updates(small_fleet& fleet, std::size_t size, state::time_point now)
 {
     for (std::uint64_t node = 1; node <= size; ++node)
     {
-        fleet.tell(node, 50, now);
+        fleet.send_update(node, 50, now);
     }
 }
 
@@ -83,7 +85,7 @@
     small_fleet fleet{9};
     state::time_point const now{10s};
     CHECK(fleet.readers(now).size() == 9);
-    tell_all(fleet, 9, now);
+    send_all_updates(fleet, 9, now);
     CHECK(fleet.readers(now).size() == fleet_view::readers);
 }
 
@@ -94,11 +96,11 @@
 {
     small_fleet fleet{9};
     state::time_point const now{10s};
-    tell_all(fleet, 9, now);
+    send_all_updates(fleet, 9, now);
     std::vector<std::uint64_t> const before = fleet.readers(now);
     for (std::uint64_t const node : before)
     {
-        fleet.tell(node, UINT32_MAX, now + 10ms);
+        fleet.send_update(node, UINT32_MAX, now + 10ms);
     }
     std::vector<std::uint64_t> const after = fleet.readers(now + 10ms);
     // Those before go on trying.
@@ -109,7 +111,7 @@
 {
     small_fleet fleet{9};
     state::time_point const now{10s};
-    tell_all(fleet, 9, now);
+    send_all_updates(fleet, 9, now);
     std::vector<std::uint64_t> const before = fleet.readers(now);
     // The others are heard on; what they read is as old as the readers' last news.
     state::time_point const later = now + 1'400ms;
@@ -118,7 +120,7 @@
         bool const is_silent = std::find(before.begin(), before.end(), node) != before.end();
         if (!is_silent)
         {
-            fleet.tell(node, UINT32_MAX, later);
+            fleet.send_update(node, UINT32_MAX, later);
         }
     }
     CHECK(fleet.readers(later).size() > fleet_view::readers);
@@ -130,14 +132,14 @@
     state::time_point const now{10s};
     for (std::uint64_t node = 2; node <= 40; ++node)
     {
-        fleet_news news = news_of(node, 1, 50);
+        fleet_update news = update_from(node, 1, 50);
         news.configuration = node <= 20 ? 7 : 6;
-        view.hear(news, streams_of(node), 0, now);
+        view.apply_update(news, streams_of(node), 0, now);
     }
     std::vector<state::endpoint> asked;
     for (std::uint64_t draw = 0; draw < 50; ++draw)
     {
-        auto const peer = view.newer_configuration(6, draw, now);
+        auto const peer = view.peer_with_newer_configuration(6, draw, now);
         REQUIRE(peer);
         CHECK(peer->address <= 20);
         if (std::find(asked.begin(), asked.end(), *peer) == asked.end())
@@ -146,33 +148,33 @@
         }
     }
     CHECK(asked.size() > 8);
-    CHECK_FALSE(view.newer_configuration(7, 1, now));
+    CHECK_FALSE(view.peer_with_newer_configuration(7, 1, now));
 }
 
 TEST_CASE("a directory that differs is fetched once news had time to arrive", "[fleet_view]")
 {
     fleet_view view{state::node_id{1}};
     state::time_point const now{10s};
-    fleet_news news = news_of(2, 1, 50);
+    fleet_update news = update_from(2, 1, 50);
     news.directory = 99;
-    view.hear(news, streams_of(2), 1, now);
-    CHECK_FALSE(view.better_directory(1, now + 100ms));
+    view.apply_update(news, streams_of(2), 1, now);
+    CHECK_FALSE(view.peer_with_newer_directory(1, now + 100ms));
     news.sequence = 2;
-    view.hear(news, streams_of(2), 1, now + 700ms);
-    CHECK(view.better_directory(1, now + 700ms));
+    view.apply_update(news, streams_of(2), 1, now + 700ms);
+    CHECK(view.peer_with_newer_directory(1, now + 700ms));
     view.directory_changed(99, now + 700ms);
-    CHECK_FALSE(view.better_directory(1, now + 700ms));
+    CHECK_FALSE(view.peer_with_newer_directory(1, now + 700ms));
 }
 
 TEST_CASE("an uptime that looks older is believed once the other is silent", "[fleet_view]")
 {
     fleet_view view{state::node_id{1}};
     state::time_point const now{10s};
-    CHECK(view.hear(news_of(2, 5, 50), streams_of(2), 0, now));
-    fleet_news restarted = news_of(2, 1, 50);
-    restarted.uptime = state::incarnation{90};
-    CHECK_FALSE(view.hear(restarted, streams_of(2), 0, now + 100ms));
-    CHECK(view.hear(restarted, streams_of(2), 0, now + 1s));
+    CHECK(view.apply_update(update_from(2, 5, 50), streams_of(2), 0, now));
+    fleet_update restarted = update_from(2, 1, 50);
+    restarted.incarnation_number = state::incarnation{90};
+    CHECK_FALSE(view.apply_update(restarted, streams_of(2), 0, now + 100ms));
+    CHECK(view.apply_update(restarted, streams_of(2), 0, now + 1s));
 }
 
 namespace
@@ -188,7 +190,7 @@
         for (std::size_t i = 0; i < size; ++i)
         {
             vms_[i].view = fleet_view{state::node_id{state::mix(i + 1, 99)}};
-            vms_[i].tells_at = now_ + std::chrono::milliseconds{random_() % 1'000};
+            vms_[i].sends_at = now_ + std::chrono::milliseconds{random_() % 1'000};
         }
     }
 
@@ -217,9 +219,9 @@
         vms_[vm].was_reader = false;
     }
     /// \brief Nothing passes between VMs below `vm` and the others.
-    void cut_at(std::size_t vm)
+    void partition_at(std::size_t vm)
     {
-        cut_ = vm;
+        partition_ = vm;
     }
     [[nodiscard]] std::vector<std::size_t> readers() const
     {
@@ -235,7 +237,7 @@
     }
 
     /// \brief How often a VM took up reading.
-    std::size_t begun = 0;
+    std::size_t reader_starts = 0;
     /// \brief Of 1,000 datagrams.
     std::uint32_t lost_of_thousand = 0;
     /// \brief The store turns all away.
@@ -248,7 +250,7 @@
     struct entry_vm
     {
         fleet_view view{state::node_id{1}};
-        state::time_point tells_at{};
+        state::time_point sends_at{};
         state::time_point read_at{};
         std::uint64_t reads = 1;
         std::uint64_t sequence = 0;
@@ -264,9 +266,9 @@
         {
             return;
         }
-        bool const reads = self.view.decide_duty(now_);
+        bool const reads = self.view.update_reader_role(now_);
         bool const begins = reads && !self.was_reader;
-        begun += begins ? 1 : 0;
+        reader_starts += begins ? 1 : 0;
         self.was_reader = reads;
         bool const was_lost = self.lost;
         if (reads && self.read_at + read_interval <= now_)
@@ -276,31 +278,34 @@
             self.reads += store_is_down ? 0 : 1;
         }
         self.lost = self.lost && reads;
-        if (now_ >= self.tells_at || begins || self.lost != was_lost)
+        if (now_ >= self.sends_at || begins || self.lost != was_lost)
         {
-            tell(i);
+            send_update(i);
         }
     }
 
-    void tell(std::size_t i)
+    void send_update(std::size_t i)
     {
         entry_vm& self = vms_[i];
-        auto const spread = std::chrono::milliseconds{random_() % 50};
-        self.tells_at = now_ + spread +
-                        (self.view.is_reader() ? self.view.interval() : self.view.calm_interval());
+        auto const jitter = std::chrono::milliseconds{random_() % 50};
+        self.sends_at =
+            now_ + jitter +
+            (self.view.is_reader() ? self.view.reader_interval() : self.view.follower_interval());
         auto const age = std::chrono::duration_cast<std::chrono::milliseconds>(now_ - self.read_at);
-        fleet_news news = news_of(state::mix(i + 1, 99), ++self.sequence,
-                                  self.lost ? UINT32_MAX : static_cast<std::uint32_t>(age.count()));
-        news.uptime = state::incarnation{self.reads};
+        fleet_update news =
+            update_from(state::mix(i + 1, 99), ++self.sequence,
+                        self.lost ? UINT32_MAX : static_cast<std::uint32_t>(age.count()));
+        news.incarnation_number = state::incarnation{self.reads};
         news.sequence = self.sequence;
-        news.beat = self.reads;
-        news.readers = self.view.reader_beats(now_);
+        news.heartbeat = self.reads;
+        news.readers = self.view.reader_heartbeats(now_);
         for (std::size_t to = 0; to < vms_.size(); ++to)
         {
-            bool const passes = (to < cut_) == (i < cut_) && random_() % 1'000 >= lost_of_thousand;
+            bool const passes =
+                (to < partition_) == (i < partition_) && random_() % 1'000 >= lost_of_thousand;
             if (to != i && vms_[to].is_up && passes)
             {
-                vms_[to].view.hear(news, streams_of(i), 0, now_);
+                vms_[to].view.apply_update(news, streams_of(i), 0, now_);
             }
         }
     }
@@ -308,10 +313,10 @@
     std::vector<entry_vm> vms_;
     std::minstd_rand random_;
     state::time_point now_{100s};
-    std::size_t cut_ = 0;
+    std::size_t partition_ = 0;
 };
 
-constexpr std::size_t hundreds = 300;
+constexpr std::size_t large_fleet_size = 300;
 
 } // namespace
 
@@ -320,13 +325,13 @@
 // store was asked 6,000 times a minute for what two readers had told.
 TEST_CASE("lost datagrams of readers change nothing in a fleet of 300", "[fleet_view][load]")
 {
-    timed_fleet fleet{hundreds, 5};
+    timed_fleet fleet{large_fleet_size, 5};
     fleet.lost_of_thousand = 50;
     fleet.run(8s);
     REQUIRE(fleet.readers().size() == fleet_view::readers);
-    fleet.begun = 0;
+    fleet.reader_starts = 0;
     fleet.run(15s);
-    CHECK(fleet.begun <= 2);
+    CHECK(fleet.reader_starts <= 2);
     CHECK(fleet.readers().size() == fleet_view::readers);
 }
 
@@ -336,17 +341,17 @@
 {
     for (std::uint32_t seed = 1; seed <= 1; ++seed)
     {
-        timed_fleet fleet{hundreds, seed};
+        timed_fleet fleet{large_fleet_size, seed};
         fleet.run(8s);
         for (std::size_t const reader : fleet.readers())
         {
             fleet.kill(reader);
         }
-        fleet.begun = 0;
+        fleet.reader_starts = 0;
         fleet.run(2'600ms);
         CHECK(fleet.readers().size() >= fleet_view::readers);
         fleet.run(5s);
-        CHECK(fleet.begun <= 8);
+        CHECK(fleet.reader_starts <= 8);
         CHECK(fleet.readers().size() == fleet_view::readers);
     }
 }
@@ -357,18 +362,18 @@
 {
     for (std::uint32_t seed = 1; seed <= 1; ++seed)
     {
-        timed_fleet fleet{hundreds, seed};
+        timed_fleet fleet{large_fleet_size, seed};
         fleet.run(8s);
-        fleet.begun = 0;
-        fleet.cut_at(50);
+        fleet.reader_starts = 0;
+        fleet.partition_at(50);
         fleet.run(4s);
         auto const readers = fleet.readers();
         auto const inside = std::count_if(readers.begin(), readers.end(),
                                           [](std::size_t reader) { return reader < 50; });
         CHECK(inside >= 1);
         fleet.run(6s);
-        CHECK(fleet.begun <= 20);
-        fleet.cut_at(0);
+        CHECK(fleet.reader_starts <= 20);
+        fleet.partition_at(0);
         fleet.run(10s);
         CHECK(fleet.readers().size() == fleet_view::readers);
     }
@@ -377,7 +382,7 @@
 // The word of a reader that died is passed on by hundreds; it must not keep the reader alive.
 TEST_CASE("what is passed on of a dead reader ages", "[fleet_view]")
 {
-    timed_fleet fleet{hundreds, 3};
+    timed_fleet fleet{large_fleet_size, 3};
     fleet.run(8s);
     std::vector<std::size_t> const dead = fleet.readers();
     for (std::size_t const reader : dead)
@@ -400,12 +405,12 @@
 // All reach the store again as it returns; until then few ask it, not all 300.
 TEST_CASE("a store that is down for all is not asked by all", "[fleet_view][load]")
 {
-    timed_fleet fleet{hundreds, 4};
+    timed_fleet fleet{large_fleet_size, 4};
     fleet.run(8s);
-    fleet.begun = 0;
+    fleet.reader_starts = 0;
     fleet.store_is_down = true;
     fleet.run(4'500ms);
-    CHECK(fleet.begun <= 120);
+    CHECK(fleet.reader_starts <= 120);
     fleet.store_is_down = false;
     fleet.run(10s);
     CHECK(fleet.readers().size() == fleet_view::readers);
@@ -420,13 +425,13 @@
     state::time_point now{10s};
     view.directory_changed(7, now);
     view.directory_changed(8, now);
-    fleet_news news = news_of(2, 1, 50);
+    fleet_update news = update_from(2, 1, 50);
     news.directory = 7;
-    view.hear(news, streams_of(2), 8, now);
+    view.apply_update(news, streams_of(2), 8, now);
     news.sequence = 2;
     now += 1s;
-    view.hear(news, streams_of(2), 8, now);
-    CHECK_FALSE(view.better_directory(1, now));
+    view.apply_update(news, streams_of(2), 8, now);
+    CHECK_FALSE(view.peer_with_newer_directory(1, now));
 }
 
 // What a reader has and this VM lacks, most peers have as well.
@@ -436,17 +441,17 @@
     state::time_point const now{10s};
     for (state::time_point const at : {now, now + 1s})
     {
-        for (std::uint64_t node = 2; node <= hundreds; ++node)
+        for (std::uint64_t node = 2; node <= large_fleet_size; ++node)
         {
-            fleet_news news = news_of(node, at == now ? 1 : 2, node <= 3 ? 50 : 60'000);
+            fleet_update news = update_from(node, at == now ? 1 : 2, node <= 3 ? 50 : 60'000);
             news.directory = 99;
-            view.hear(news, streams_of(node), 1, at);
+            view.apply_update(news, streams_of(node), 1, at);
         }
     }
     std::vector<state::endpoint> asked;
     for (std::uint64_t draw = 0; draw < 100; ++draw)
     {
-        auto const peer = view.better_directory(draw, now + 1s);
+        auto const peer = view.peer_with_newer_directory(draw, now + 1s);
         REQUIRE(peer);
         if (std::find(asked.begin(), asked.end(), *peer) == asked.end())
         {
--- a/tests/coordination/test_generation_admission.cpp
+++ b/tests/coordination/test_generation_admission.cpp
@@ -14,25 +14,25 @@
 namespace
 {
 
-constexpr generation_claim fresh_draft{750, false, 0ms, 1'800ms, 7'200ms};
-constexpr generation_claim returning_draft{750, true, 0ms, 1'800ms, 7'200ms};
-constexpr generation_claim returning_question{12, true, 0ms, 1'500ms, 6'000ms};
+constexpr admission_request first_attempt_draft{750, false, 0ms, 1'800ms, 7'200ms};
+constexpr admission_request retried_draft{750, true, 0ms, 1'800ms, 7'200ms};
+constexpr admission_request retried_question{12, true, 0ms, 1'500ms, 6'000ms};
 
 // -- a crowd --------------------------------------------------------------------------------------
 
 /// \brief How drafts are taken; the two ways that are compared.
 struct policy
 {
-    std::function<bool(generation_claim const&, generation_room const&)> admits;
-    std::function<state::duration(generation_claim const&)> longest_wait;
+    std::function<bool(admission_request const&, projected_load const&)> admits;
+    std::function<state::duration(admission_request const&)> longest_wait;
 };
 
 struct draft
 {
     std::uint32_t tokens = 0;
     state::time_point asked{};
-    bool comes_back = false;
-    state::time_point give_up{};
+    bool is_retry = false;
+    state::time_point wait_until{};
 };
 
 struct upstream
@@ -50,7 +50,7 @@
 {
     double on_time = 0.0;
     double late = 0.0;
-    double refused_for_good = 0.0;
+    double refused_twice = 0.0;
     std::size_t served = 0;
     std::size_t asked = 0;
     std::size_t longest_served = 0;
@@ -58,23 +58,23 @@
 };
 
 // A late answer earns a sixth; a second refusal costs its caller a third of what it would be worth.
-double earned(outcome const& of)
+double total_value(outcome const& of)
 {
-    return of.on_time + 0.15 * of.late - 0.3 * of.refused_for_good;
+    return of.on_time + 0.15 * of.late - 0.3 * of.refused_twice;
 }
 
 constexpr double memory_tokens = 21'867.0;
 constexpr double prompt_tokens = 3'000.0;
 constexpr state::duration token_time = 13ms;
-constexpr std::uint32_t among_longest = 1'500;
+constexpr std::uint32_t longest_draft_tokens = 1'500;
 
 // Worth by size, as a caller pays: part by the prompt, tokens generated count ten times.
-double worth_of(std::uint32_t tokens)
+double value_of(std::uint32_t tokens)
 {
     return 0.3 + 0.7 * (prompt_tokens + 10.0 * tokens) / (prompt_tokens + 7'500.0);
 }
 
-generation_room room_at(upstream const& at, std::uint32_t tokens, state::time_point now)
+projected_load load_at(upstream const& at, std::uint32_t tokens, state::time_point now)
 {
     double held = 0.0;
     for (upstream::run const& run : at.runs)
@@ -87,11 +87,11 @@
 
 /// \brief A minute of drafts at 1.4 times what the memory of 12 upstreams carries, in steps of 25
 /// ms.
-class crowd
+class overload_model
 {
 public:
-    explicit crowd(policy how, double load = 1.4, std::uint32_t seed = 17)
-        : how_{std::move(how)}, load_{load}, random_{seed}
+    explicit overload_model(policy how, double load = 1.4, std::uint32_t seed = 17)
+        : policy_{std::move(how)}, load_{load}, random_{seed}
     {
     }
 
@@ -102,7 +102,7 @@
         for (state::time_point now{}; now < state::time_point{60s}; now += 25ms)
         {
             end_runs(now);
-            bring_back(now);
+            resubmit_retries(now);
             if (std::uniform_real_distribution<double>{0.0, 1.0}(random_) < starts_per_step)
             {
                 arrive(new_draft(now), now);
@@ -120,28 +120,28 @@
         std::lognormal_distribution<double> length{6.0, 1.1};
         auto const tokens = static_cast<std::uint32_t>(std::clamp(length(random_), 20.0, 1'780.0));
         ++outcome_.asked;
-        outcome_.longest_asked += tokens >= among_longest ? 1 : 0;
+        outcome_.longest_asked += tokens >= longest_draft_tokens ? 1 : 0;
         return {tokens, now, false, {}};
     }
 
-    [[nodiscard]] static generation_claim claim_of(draft const& each, state::time_point now)
+    [[nodiscard]] static admission_request claim_of(draft const& each, state::time_point now)
     {
-        return {each.tokens, each.comes_back, now - each.asked, 1'800ms, 7'200ms};
+        return {each.tokens, each.is_retry, now - each.asked, 1'800ms, 7'200ms};
     }
 
     void arrive(draft each, state::time_point now)
     {
         each.asked = now;
-        each.give_up = now + how_.longest_wait(claim_of(each, now));
+        each.wait_until = now + policy_.longest_wait(claim_of(each, now));
         waiting_.push_back(each);
     }
 
-    void bring_back(state::time_point now)
+    void resubmit_retries(state::time_point now)
     {
-        auto const due = std::partition(returning_.begin(), returning_.end(),
-                                        [now](draft const& each) { return each.give_up > now; });
-        std::vector<draft> const back{due, returning_.end()};
-        returning_.erase(due, returning_.end());
+        auto const due = std::partition(retrying_.begin(), retrying_.end(),
+                                        [now](draft const& each) { return each.wait_until > now; });
+        std::vector<draft> const back{due, retrying_.end()};
+        retrying_.erase(due, retrying_.end());
         for (draft const& each : back)
         {
             arrive(each, now);
@@ -161,20 +161,20 @@
         double mean = 0.0;
         for (upstream const& at : upstreams_)
         {
-            mean += room_at(at, 0, now).fullness / static_cast<double>(upstreams_.size());
+            mean += load_at(at, 0, now).fullness / static_cast<double>(upstreams_.size());
         }
         std::uniform_int_distribution<std::size_t> draw{0, upstreams_.size() - 1};
         upstream& at = upstreams_[draw(random_)];
-        generation_room room = room_at(at, each.tokens, now);
-        room.mean_fullness = mean;
-        if (!how_.admits(claim_of(each, now), room))
+        projected_load projected = load_at(at, each.tokens, now);
+        projected.mean_fullness = mean;
+        if (!policy_.admits(claim_of(each, now), projected))
         {
             return false;
         }
         at.runs.push_back({each.tokens, now, now + each.tokens * token_time});
-        (each.comes_back ? outcome_.late : outcome_.on_time) += worth_of(each.tokens);
+        (each.is_retry ? outcome_.late : outcome_.on_time) += value_of(each.tokens);
         ++outcome_.served;
-        outcome_.longest_served += each.tokens >= among_longest ? 1 : 0;
+        outcome_.longest_served += each.tokens >= longest_draft_tokens ? 1 : 0;
         return true;
     }
 
@@ -187,47 +187,47 @@
             {
                 continue;
             }
-            if (now < each.give_up)
+            if (now < each.wait_until)
             {
                 still.push_back(each);
                 continue;
             }
-            if (each.comes_back)
+            if (each.is_retry)
             {
-                outcome_.refused_for_good += worth_of(each.tokens);
+                outcome_.refused_twice += value_of(each.tokens);
                 continue;
             }
-            each.comes_back = true;
-            each.give_up =
+            each.is_retry = true;
+            each.wait_until =
                 now +
-                come_back_after(38s, std::uniform_real_distribution<double>{0.0, 1.0}(random_));
-            returning_.push_back(each);
+                draw_retry_after(38s, std::uniform_real_distribution<double>{0.0, 1.0}(random_));
+            retrying_.push_back(each);
         }
         waiting_ = std::move(still);
     }
 
-    policy how_;
+    policy policy_;
     double load_;
     outcome outcome_;
     std::vector<upstream> upstreams_{12};
     std::vector<draft> waiting_;
-    std::vector<draft> returning_;
+    std::vector<draft> retrying_;
     std::minstd_rand random_;
 };
 
 // One limit for all; returning drafts wait most of their callers' patience for an upstream that
 // happens to be emptier.
-policy all_alike()
+policy uniform_policy()
 {
-    return {[](generation_claim const& claim, generation_room const& room)
-            { return room.fullness <= (claim.comes_back ? 0.7 : 0.95); },
-            [](generation_claim const& claim) -> state::duration
+    return {[](admission_request const& request, projected_load const& projected)
+            { return projected.fullness <= (request.is_retry ? 0.7 : 0.95); },
+            [](admission_request const& request) -> state::duration
             {
-                return claim.comes_back ? 4'320ms : 810ms;
+                return request.is_retry ? 4'320ms : 810ms;
             }};
 }
 
-policy as_built()
+policy current_policy()
 {
     return {admits, longest_wait};
 }
@@ -236,19 +236,19 @@
 
 TEST_CASE("a draft that comes back yields, a question does not", "[generation_admission]")
 {
-    generation_room const room{0.6, 0.8, 400ms};
-    CHECK(admits(fresh_draft, room));
-    CHECK_FALSE(admits(returning_draft, room));
-    CHECK(admits(returning_draft, {0.6, 0.5, 400ms}));
-    CHECK(admits(returning_question, room));
-    CHECK_FALSE(yields_to_fresh(fresh_draft));
-    CHECK_FALSE(yields_to_fresh(returning_question));
+    projected_load const projected{0.6, 0.8, 400ms};
+    CHECK(admits(first_attempt_draft, projected));
+    CHECK_FALSE(admits(retried_draft, projected));
+    CHECK(admits(retried_draft, {0.6, 0.5, 400ms}));
+    CHECK(admits(retried_question, projected));
+    CHECK_FALSE(yields_to_first_attempts(first_attempt_draft));
+    CHECK_FALSE(yields_to_first_attempts(retried_question));
 }
 
 TEST_CASE("a fresh generation is not sent where it can only be late", "[generation_admission]")
 {
-    CHECK_FALSE(admits(fresh_draft, {0.5, 0.5, 1'300ms}));
-    generation_claim waited = fresh_draft;
+    CHECK_FALSE(admits(first_attempt_draft, {0.5, 0.5, 1'300ms}));
+    admission_request waited = first_attempt_draft;
     waited.waited = 1'300ms;
     CHECK_FALSE(admits(waited, {0.5, 0.5, 400ms}));
 }
@@ -268,9 +268,9 @@
 TEST_CASE("long answers that come back are refused at once where there is no room",
           "[generation_admission]")
 {
-    CHECK(longest_wait(returning_draft) <= 1'800ms / 8);
-    CHECK(longest_wait(returning_question) == 3'600ms);
-    CHECK(longest_wait(fresh_draft) == 810ms);
+    CHECK(longest_wait(retried_draft) <= 1'800ms / 8);
+    CHECK(longest_wait(retried_question) == 3'600ms);
+    CHECK(longest_wait(first_attempt_draft) == 810ms);
 }
 
 // Load pattern: long prompts in a crowd. One that needs .9 s to be read and waited for .7 s of 1.5
@@ -278,35 +278,35 @@
 TEST_CASE("a generation is refused as soon as no upstream can have it in time",
           "[generation_admission][load]")
 {
-    generation_claim long_prompt{12, false, 0ms, 1'500ms, 6'000ms, 900ms};
+    admission_request long_prompt{12, false, 0ms, 1'500ms, 6'000ms, 900ms};
     CHECK(longest_wait(long_prompt) == 150ms);
     long_prompt.waited = 151ms;
-    CHECK(limit_for(long_prompt, {0.1, 0.1, 900ms}) == admission_limit::first_event);
+    CHECK(limit_for(long_prompt, {0.1, 0.1, 900ms}) == admission_limit::time_to_first_event);
 }
 
 // A prompt that takes longer than the objective at any upstream: refused, its caller would get
 // nothing, where it would take a late answer.
 TEST_CASE("a generation that is late anyway is sent", "[generation_admission]")
 {
-    generation_claim const claim{12, false, 300ms, 1'500ms, 6'000ms, 1'100ms};
-    CHECK(admits(claim, {0.5, 0.5, 1'200ms}));
-    CHECK(limit_for(claim, {1.1, 0.5, 1'200ms}) == admission_limit::memory);
-    CHECK(longest_wait(claim) > 0ms);
+    admission_request const request{12, false, 300ms, 1'500ms, 6'000ms, 1'100ms};
+    CHECK(admits(request, {0.5, 0.5, 1'200ms}));
+    CHECK(limit_for(request, {1.1, 0.5, 1'200ms}) == admission_limit::memory);
+    CHECK(longest_wait(request) > 0ms);
 }
 
 TEST_CASE("each limit has a name", "[generation_admission]")
 {
-    CHECK(limit_name(limit_for(fresh_draft, {0.95, 0.5, 400ms})) == "memory");
-    CHECK(limit_name(limit_for(fresh_draft, {0.5, 0.5, 1'300ms})) == "first event");
-    CHECK(limit_name(limit_for(returning_draft, {0.5, 0.7, 400ms})) == "fresh first");
-    CHECK(limit_name(limit_for(fresh_draft, {0.5, 0.5, 400ms})) == "none");
+    CHECK(limit_name(limit_for(first_attempt_draft, {0.95, 0.5, 400ms})) == "memory");
+    CHECK(limit_name(limit_for(first_attempt_draft, {0.5, 0.5, 1'300ms})) == "first event");
+    CHECK(limit_name(limit_for(retried_draft, {0.5, 0.7, 400ms})) == "fresh first");
+    CHECK(limit_name(limit_for(first_attempt_draft, {0.5, 0.5, 400ms})) == "none");
 }
 
 TEST_CASE("refused callers come back spread, within the time they obey", "[generation_admission]")
 {
-    CHECK(come_back_after(39s, 0.0) >= 5s);
-    CHECK(come_back_after(39s, 0.999) < 13s);
-    CHECK(come_back_after(0s, 0.5) == state::duration::zero());
+    CHECK(draw_retry_after(39s, 0.0) >= 5s);
+    CHECK(draw_retry_after(39s, 0.999) < 13s);
+    CHECK(draw_retry_after(0s, 0.5) == state::duration::zero());
 }
 
 // Load pattern: drafts at 1.4 times what memory carries, for a minute; refused callers come back
@@ -315,14 +315,14 @@
 // time, and in all; the model gives 0.06, and the day on which it was first seen gained a fifth.
 TEST_CASE("in a crowd memory goes to drafts that are on time", "[generation_admission][load]")
 {
-    outcome const alike = crowd{all_alike()}.run();
-    outcome const built = crowd{as_built()}.run();
+    outcome const alike = overload_model{uniform_policy()}.run();
+    outcome const built = overload_model{current_policy()}.run();
     INFO("on time " << alike.on_time << " -> " << built.on_time << ", late " << alike.late << " -> "
-                    << built.late << ", refused " << alike.refused_for_good << " -> "
-                    << built.refused_for_good << ", longest " << built.longest_served << " of "
+                    << built.late << ", refused " << alike.refused_twice << " -> "
+                    << built.refused_twice << ", longest " << built.longest_served << " of "
                     << built.longest_asked);
     CHECK(built.on_time > 1.05 * alike.on_time);
-    CHECK(earned(built) > 1.05 * earned(alike));
+    CHECK(total_value(built) > 1.05 * total_value(alike));
 }
 
 // Load pattern: drafts at 1.4 and at twice what memory carries. Whoever asks for the longest drafts
@@ -335,7 +335,7 @@
     outcome sum;
     for (std::uint32_t seed = 17; seed < 22; ++seed)
     {
-        outcome const each = crowd{as_built(), load, seed}.run();
+        outcome const each = overload_model{current_policy(), load, seed}.run();
         sum.served += each.served;
         sum.asked += each.asked;
         sum.longest_served += each.longest_served;
--- a/tests/coordination/test_generation_backup.cpp
+++ b/tests/coordination/test_generation_backup.cpp
@@ -27,17 +27,17 @@
 struct draft
 {
     std::size_t at = 0;
-    std::size_t keeper = engines;
+    std::size_t backup_engine = engines;
     double tokens = 0.0;
     double ends = 0.0;
 };
 
 struct outcome
 {
-    int asked = 0;
+    int requested = 0;
     int refused = 0;
     int lost = 0;
-    int insured = 0;
+    int backed_up = 0;
 };
 
 class model
@@ -59,7 +59,7 @@
             }
             arrive(now, backups);
         }
-        return seen_;
+        return totals_;
     }
 
 private:
@@ -68,17 +68,17 @@
         double used = 0.0;
         for (draft const& each : drafts_)
         {
-            used += each.at == engine || each.keeper == engine ? each.tokens : 0.0;
+            used += each.at == engine || each.backup_engine == engine ? each.tokens : 0.0;
         }
         return used / memory;
     }
 
-    [[nodiscard]] std::size_t emptiest(double now, std::size_t but) const
+    [[nodiscard]] std::size_t least_full_engine(double now, std::size_t excluded) const
     {
         std::size_t best = engines;
         for (std::size_t i = 0; i < engines; ++i)
         {
-            bool const fits = i != but && back_at_[i] <= now;
+            bool const fits = i != excluded && back_at_[i] <= now;
             best = fits && (best == engines || fullness(i) < fullness(best)) ? i : best;
         }
         return best;
@@ -88,22 +88,23 @@
     {
         std::lognormal_distribution<double> length{6.4, 0.75};
         double const tokens = std::min(length(random_), 2'200.0);
-        ++seen_.asked;
-        draft added{emptiest(now, engines), engines, 3'000.0 + tokens / 2.0,
+        ++totals_.requested;
+        draft added{least_full_engine(now, engines), engines, 3'000.0 + tokens / 2.0,
                     now + 0.3 + 0.009 * tokens};
         double const with_it = fullness(added.at) + added.tokens / memory;
         if (with_it > fullness_limit(static_cast<std::uint32_t>(tokens)))
         {
-            ++seen_.refused;
+            ++totals_.refused;
             return;
         }
-        if (backups && wants_backup(static_cast<std::uint32_t>(tokens), mean()))
+        if (backups && should_back_up(static_cast<std::uint32_t>(tokens), mean()))
         {
-            std::size_t const keeper = emptiest(now, added.at);
-            bool const has_room =
-                keeper != engines && has_room_for_backup(fullness(keeper) + added.tokens / memory);
-            added.keeper = has_room ? keeper : engines;
-            seen_.insured += has_room ? 1 : 0;
+            std::size_t const backup_engine = least_full_engine(now, added.at);
+            bool const has_capacity =
+                backup_engine != engines &&
+                has_capacity_for_backup(fullness(backup_engine) + added.tokens / memory);
+            added.backup_engine = has_capacity ? backup_engine : engines;
+            totals_.backed_up += has_capacity ? 1 : 0;
         }
         drafts_.push_back(added);
     }
@@ -115,16 +116,16 @@
         back_at_[gone] = now + 4.0;
         for (draft& each : drafts_)
         {
-            if (each.keeper == gone)
+            if (each.backup_engine == gone)
             {
-                each.keeper = engines;
+                each.backup_engine = engines;
             }
             if (each.at == gone)
             {
-                each.at = std::exchange(each.keeper, engines);
+                each.at = std::exchange(each.backup_engine, engines);
             }
         }
-        seen_.lost += static_cast<int>(
+        totals_.lost += static_cast<int>(
             std::erase_if(drafts_, [](draft const& each) { return each.at == engines; }));
     }
 
@@ -142,7 +143,7 @@
     std::minstd_rand random_{11};
     std::vector<draft> drafts_;
     std::array<double, engines> back_at_{};
-    outcome seen_;
+    outcome totals_;
 };
 
 } // namespace
@@ -153,10 +154,10 @@
 {
     outcome const without = model{5.4}.run(600.0, false);
     outcome const with = model{5.4}.run(600.0, true);
-    CHECK(with.insured > 9 * with.asked / 10);
+    CHECK(with.backed_up > 9 * with.requested / 10);
     // What is left are those whose keeper crashed before.
     CHECK(with.lost < without.lost / 4);
-    CHECK(with.refused <= with.asked / 100);
+    CHECK(with.refused <= with.requested / 100);
 }
 
 // At twice that load memory is short. Backups have to give way by themselves, or callers would be
@@ -165,16 +166,16 @@
 {
     outcome const without = model{10.8}.run(600.0, false);
     outcome const with = model{10.8}.run(600.0, true);
-    CHECK(with.insured < with.asked / 2);
-    CHECK(with.refused < without.refused + with.asked / 50);
+    CHECK(with.backed_up < with.requested / 2);
+    CHECK(with.refused < without.refused + with.requested / 50);
     CHECK(with.lost + with.refused < without.lost + without.refused);
 }
 
 TEST_CASE("short answers and full services have no backup", "[generation_backup]")
 {
-    CHECK_FALSE(wants_backup(long_answer_tokens - 1, 0.1));
-    CHECK(wants_backup(long_answer_tokens, 0.1));
-    CHECK_FALSE(wants_backup(2'000, 0.65));
-    CHECK(has_room_for_backup(0.7));
-    CHECK_FALSE(has_room_for_backup(0.8));
+    CHECK_FALSE(should_back_up(long_answer_tokens - 1, 0.1));
+    CHECK(should_back_up(long_answer_tokens, 0.1));
+    CHECK_FALSE(should_back_up(2'000, 0.65));
+    CHECK(has_capacity_for_backup(0.7));
+    CHECK_FALSE(has_capacity_for_backup(0.8));
 }
--- a/tests/coordination/test_generation_survival.cpp
+++ b/tests/coordination/test_generation_failover.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/coordination/generation_survival.hpp>
+#include <plumdale/coordination/generation_failover.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -32,7 +32,7 @@
 }
 
 template <class Action>
-Action const* last(survival_actions const& actions)
+Action const* last(failover_actions const& actions)
 {
     return actions.empty() ? nullptr : std::get_if<Action>(&actions.back());
 }
@@ -42,45 +42,45 @@
 TEST_CASE("a generation is copied while it runs, stopped by a last copy, and goes on elsewhere",
           "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({state::never, start + 1s}, start, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({state::never, start + 1s}, start, actions);
     REQUIRE(last<order_copy>(actions) != nullptr);
     CHECK_FALSE(last<order_copy>(actions)->last);
     CHECK(last<order_copy>(actions)->destination == first_choice);
 
-    survival.copied("h1", start + 200ms, actions);
-    CHECK(survival.next_deadline() == start + 1s);
-    survival.advance(start + 1s, actions);
+    failover.copied("h1", start + 200ms, actions);
+    CHECK(failover.next_deadline() == start + 1s);
+    failover.advance(start + 1s, actions);
     REQUIRE(last<order_copy>(actions) != nullptr);
     CHECK(last<order_copy>(actions)->last);
 
-    survival.copied("h2", start + 1'010ms, actions);
-    survival.source_ended(start + 1'012ms, actions);
+    failover.copied("h2", start + 1'010ms, actions);
+    failover.source_ended(start + 1'012ms, actions);
     REQUIRE(last<resume_generation>(actions) != nullptr);
     CHECK(last<resume_generation>(actions)->at == first_choice);
     CHECK(last<resume_generation>(actions)->holder == source);
     CHECK(last<resume_generation>(actions)->handle == "h2");
-    survival.resumed(start + 1'050ms);
-    CHECK(survival.source() == first_choice);
-    CHECK_FALSE(survival.between());
+    failover.resumed(start + 1'050ms);
+    CHECK(failover.source() == first_choice);
+    CHECK_FALSE(failover.is_suspended());
 }
 
 // The upstream has told when it will be gone. Its generations run on until then; the caller sees no
 // more of a pause than a few tokens take to be read again.
 TEST_CASE("a copy is refreshed before a known departure, and nothing is stopped", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({start + 1s, start + 2s}, start, actions);
-    survival.copied("h1", start + 200ms, actions);
-    CHECK(survival.next_deadline() == start + 1s);
-    survival.advance(start + 1s, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({start + 1s, start + 2s}, start, actions);
+    failover.copied("h1", start + 200ms, actions);
+    CHECK(failover.next_deadline() == start + 1s);
+    failover.advance(start + 1s, actions);
     REQUIRE(last<order_copy>(actions) != nullptr);
     CHECK_FALSE(last<order_copy>(actions)->last);
-    survival.copied("h2", start + 1'010ms, actions);
-    CHECK(survival.next_deadline() == start + 2s);
-    survival.source_ended(start + 1'200ms, actions);
+    failover.copied("h2", start + 1'010ms, actions);
+    CHECK(failover.next_deadline() == start + 2s);
+    failover.source_ended(start + 1'200ms, actions);
     REQUIRE(last<resume_generation>(actions) != nullptr);
     CHECK(last<resume_generation>(actions)->handle == "h2");
 }
@@ -89,17 +89,17 @@
 TEST_CASE("a refresh that fails leaves the copy before", "[survival]")
 {
     bool const answers = GENERATE(false, true);
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({start + 1s, start + 2s}, start, actions);
-    survival.copied("h1", start + 200ms, actions);
-    survival.advance(start + 1s, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({start + 1s, start + 2s}, start, actions);
+    failover.copied("h1", start + 200ms, actions);
+    failover.advance(start + 1s, actions);
     if (answers)
     {
-        survival.copy_refused(copy_refusal::no_room, {}, start + 1'010ms, actions);
-        CHECK(survival.next_deadline() == start + 2s);
+        failover.copy_refused(copy_refusal::no_capacity, {}, start + 1'010ms, actions);
+        CHECK(failover.next_deadline() == start + 2s);
     }
-    survival.source_ended(start + 1'200ms, actions);
+    failover.source_ended(start + 1'200ms, actions);
     REQUIRE(last<resume_generation>(actions) != nullptr);
     CHECK(last<resume_generation>(actions)->handle == "h1");
 }
@@ -108,13 +108,13 @@
 // all.
 TEST_CASE("an upstream that is overdue is left by a last copy", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({start + 1s, start + 2s}, start, actions);
-    survival.copied("h1", start + 200ms, actions);
-    survival.advance(start + 1s, actions);
-    survival.copied("h2", start + 1'010ms, actions);
-    survival.advance(start + 2s, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({start + 1s, start + 2s}, start, actions);
+    failover.copied("h1", start + 200ms, actions);
+    failover.advance(start + 1s, actions);
+    failover.copied("h2", start + 1'010ms, actions);
+    failover.advance(start + 2s, actions);
     REQUIRE(last<order_copy>(actions) != nullptr);
     CHECK(last<order_copy>(actions)->last);
 }
@@ -123,22 +123,22 @@
 // such generation. It is ordered again until the generation has begun.
 TEST_CASE("a generation that has not begun is copied once it has", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({state::never, start + 1s}, start, actions);
-    survival.copy_refused(copy_refusal::unknown_generation, {}, start, actions);
-    survival.advance(start + generation_survival::copy_retry, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({state::never, start + 1s}, start, actions);
+    failover.copy_refused(copy_refusal::unknown_generation, {}, start, actions);
+    failover.advance(start + generation_failover::copy_retry_delay, actions);
     CHECK(actions.size() == 2);
     CHECK(last<order_copy>(actions)->destination == first_choice);
 }
 
 TEST_CASE("a destination without room is replaced by another", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({state::never, start + 1s}, start, actions);
-    survival.copy_refused(copy_refusal::no_room, {}, start, actions);
-    survival.advance(start + generation_survival::copy_retry, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({state::never, start + 1s}, start, actions);
+    failover.copy_refused(copy_refusal::no_capacity, {}, start, actions);
+    failover.advance(start + generation_failover::copy_retry_delay, actions);
     CHECK(last<order_copy>(actions)->destination == second_choice);
 }
 
@@ -146,31 +146,31 @@
 // all but the newest tokens; without it the caller's draft would be cut.
 TEST_CASE("a crash after the first copy goes on from it", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({state::never, start + 1s}, start, actions);
-    survival.copied("h1", start + 200ms, actions);
-    survival.source_ended(start + 300ms, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({state::never, start + 1s}, start, actions);
+    failover.copied("h1", start + 200ms, actions);
+    failover.source_ended(start + 300ms, actions);
     REQUIRE(last<resume_generation>(actions) != nullptr);
     CHECK(last<resume_generation>(actions)->handle == "h1");
 }
 
 TEST_CASE("a crash without copy or backup ends the generation", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_ended(start, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_ended(start, actions);
     CHECK(last<abandon_generation>(actions) != nullptr);
 }
 
 TEST_CASE("with a backup a notice costs nothing and a crash is survived", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival.backed_up_at(second_choice);
-    survival_actions actions;
-    survival.source_leaves({state::never, start + 1s}, start, actions);
+    generation_failover failover{source, choose};
+    failover.set_backup(second_choice);
+    failover_actions actions;
+    failover.source_leaves({state::never, start + 1s}, start, actions);
     CHECK(actions.empty());
-    survival.source_ended(start + 1s, actions);
+    failover.source_ended(start + 1s, actions);
     REQUIRE(last<resume_generation>(actions) != nullptr);
     CHECK(last<resume_generation>(actions)->at == second_choice);
     CHECK(last<resume_generation>(actions)->handle.empty());
@@ -180,24 +180,24 @@
 // cut; it is copied as soon as the backup's notice is heard.
 TEST_CASE("a generation whose backup leaves too is copied after all", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival.backed_up_at(second_choice);
-    survival_actions actions;
-    survival.source_leaves({state::never, start + 1s}, start, actions);
-    survival.backup_leaves(second_choice, actions);
+    generation_failover failover{source, choose};
+    failover.set_backup(second_choice);
+    failover_actions actions;
+    failover.source_leaves({state::never, start + 1s}, start, actions);
+    failover.backup_leaves(second_choice, actions);
     REQUIRE(last<order_copy>(actions) != nullptr);
     CHECK(last<order_copy>(actions)->destination == first_choice);
 }
 
 TEST_CASE("a last copy that found no room leaves the memory at the source", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({state::never, start}, start, actions);
-    survival.copied("h1", start, actions);
-    survival.advance(start, actions);
-    survival.copy_refused(copy_refusal::no_room, "h2", start + 5ms, actions);
-    survival.source_ended(start + 6ms, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({state::never, start}, start, actions);
+    failover.copied("h1", start, actions);
+    failover.advance(start, actions);
+    failover.copy_refused(copy_refusal::no_capacity, "h2", start + 5ms, actions);
+    failover.source_ended(start + 6ms, actions);
     REQUIRE(last<resume_generation>(actions) != nullptr);
     CHECK(last<resume_generation>(actions)->at == source);
     CHECK(last<resume_generation>(actions)->handle == "h2");
@@ -205,21 +205,21 @@
 
 TEST_CASE("a refused resumption is tried where the memory was left, then given up", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({state::never, start}, start, actions);
-    survival.copied("h1", start, actions);
-    survival.advance(start, actions);
-    survival.copied("h2", start, actions);
-    survival.source_ended(start, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({state::never, start}, start, actions);
+    failover.copied("h1", start, actions);
+    failover.advance(start, actions);
+    failover.copied("h2", start, actions);
+    failover.source_ended(start, actions);
     state::time_point now = start;
     std::vector<state::member_key> tried;
     while (last<resume_generation>(actions) != nullptr)
     {
         tried.push_back(last<resume_generation>(actions)->at);
-        survival.resume_refused(now, actions);
-        now += generation_survival::resume_retry;
-        survival.advance(now, actions);
+        failover.resume_refused(now, actions);
+        now += generation_failover::resume_retry_delay;
+        failover.advance(now, actions);
     }
     CHECK(tried == std::vector{first_choice, source, first_choice, source});
     CHECK(last<abandon_generation>(actions) != nullptr);
@@ -227,11 +227,11 @@
 
 TEST_CASE("a copy that is not used is freed", "[survival]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({state::never, start + 1s}, start, actions);
-    survival.copied("h1", start, actions);
-    survival.finished(actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({state::never, start + 1s}, start, actions);
+    failover.copied("h1", start, actions);
+    failover.finished(actions);
     REQUIRE(last<release_copy>(actions) != nullptr);
     CHECK(last<release_copy>(actions)->handle == "h1");
 }
@@ -243,13 +243,13 @@
     for (std::uint32_t seed = 1; seed <= 10'000; ++seed)
     {
         std::minstd_rand random{seed};
-        generation_survival survival{source, choose};
+        generation_failover failover{source, choose};
         state::time_point now = start;
         bool runs = true;
         bool stopped = false;
         bool last_ordered = false;
         bool ended = false;
-        survival_actions actions;
+        failover_actions actions;
         for (int step = 0; step < 40 && !ended; ++step)
         {
             now += state::duration{std::chrono::milliseconds{random() % 400}};
@@ -257,38 +257,39 @@
             switch (random() % 8)
             {
             case 0:
-                survival.source_leaves(
+                failover.source_leaves(
                     {random() % 2 == 0 ? state::never : now + 300ms, now + 500ms}, now, actions);
                 break;
             case 1:
                 stopped = stopped || last_ordered;
-                survival.copied("h", now, actions);
+                failover.copied("h", now, actions);
                 break;
             case 2:
-                survival.copy_refused(copy_refusal::unknown_generation, {}, now, actions);
+                failover.copy_refused(copy_refusal::unknown_generation, {}, now, actions);
                 break;
             case 3:
-                survival.copy_refused(copy_refusal::no_room, last_ordered ? "h" : "", now, actions);
+                failover.copy_refused(copy_refusal::no_capacity, last_ordered ? "h" : "", now,
+                                      actions);
                 stopped = stopped || last_ordered;
                 break;
             case 4:
                 if (runs)
                 {
                     runs = false;
-                    survival.source_ended(now, actions);
+                    failover.source_ended(now, actions);
                 }
                 break;
             case 5:
-                survival.backed_up_at(second_choice);
+                failover.set_backup(second_choice);
                 break;
             case 6:
-                survival.backup_leaves(second_choice, actions);
+                failover.backup_leaves(second_choice, actions);
                 break;
             default:
-                survival.advance(now, actions);
+                failover.advance(now, actions);
                 break;
             }
-            for (survival_action const& action : actions)
+            for (failover_action const& action : actions)
             {
                 if (auto const* const order = std::get_if<order_copy>(&action))
                 {
@@ -312,15 +313,15 @@
 TEST_CASE("copies of a source that can't be reached are ordered ever more seldom",
           "[survival][load]")
 {
-    generation_survival survival{source, choose};
-    survival_actions actions;
-    survival.source_leaves({state::never, start + 10s}, start, actions);
+    generation_failover failover{source, choose};
+    failover_actions actions;
+    failover.source_leaves({state::never, start + 10s}, start, actions);
     state::time_point now = start;
     while (now < start + 10s)
     {
-        survival.copy_refused(copy_refusal::unreachable, {}, now, actions);
-        now = survival.next_deadline();
-        survival.advance(now, actions);
+        failover.copy_refused(copy_refusal::unreachable, {}, now, actions);
+        now = failover.next_deadline();
+        failover.advance(now, actions);
     }
     auto const orders =
         std::count_if(actions.begin(), actions.end(),
@@ -329,7 +330,7 @@
     CHECK(orders >= 15);
 
     // One that answers again is copied without delay.
-    survival.copied("h1", now, actions);
-    survival.source_ended(now, actions);
+    failover.copied("h1", now, actions);
+    failover.source_ended(now, actions);
     REQUIRE(last<resume_generation>(actions) != nullptr);
 }
--- a/tests/coordination/test_generation_life.cpp
+++ b/tests/coordination/test_generation_lifecycle.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/coordination/generation_life.hpp>
+#include <plumdale/coordination/generation_lifecycle.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -11,29 +11,29 @@
 namespace
 {
 
-using enum life_state;
-using enum life_event;
+using enum lifecycle_state;
+using enum lifecycle_event;
 
 struct path
 {
-    std::vector<life_event> events;
-    life_state end;
+    std::vector<lifecycle_event> events;
+    lifecycle_state end;
 };
 
 constexpr std::array all_events{run, read, dispatch, token, lost, not_run, restart, finish, fail};
 
 /// \brief Counts the events that a generation in the state at the end of `to` allows.
-int allowed_after(std::initializer_list<life_event> to)
+int allowed_after(std::initializer_list<lifecycle_event> to)
 {
     int allowed = 0;
-    for (life_event const each : all_events)
+    for (lifecycle_event const each : all_events)
     {
-        generation_life life;
-        for (life_event const step : to)
+        generation_lifecycle lifecycle;
+        for (lifecycle_event const step : to)
         {
-            REQUIRE(life.apply(step));
+            REQUIRE(lifecycle.apply(step));
         }
-        allowed += life.apply(each) ? 1 : 0;
+        allowed += lifecycle.apply(each) ? 1 : 0;
     }
     return allowed;
 }
@@ -53,12 +53,12 @@
     };
     for (path const& each : paths)
     {
-        generation_life life;
-        for (life_event const event : each.events)
+        generation_lifecycle lifecycle;
+        for (lifecycle_event const event : each.events)
         {
-            CHECK(life.apply(event));
+            CHECK(lifecycle.apply(event));
         }
-        CHECK(life.state() == each.end);
+        CHECK(lifecycle.state() == each.end);
     }
 }
 
@@ -72,9 +72,9 @@
     CHECK(allowed_after({run, dispatch, finish}) == 0);
     CHECK(allowed_after({run, fail}) == 0);
 
-    generation_life life;
-    CHECK_FALSE(life.apply(dispatch));
-    CHECK(life.state() == reserved);
+    generation_lifecycle lifecycle;
+    CHECK_FALSE(lifecycle.apply(dispatch));
+    CHECK(lifecycle.state() == reserved);
 }
 
 } // namespace
--- a/tests/coordination/test_identity.cpp
+++ b/tests/coordination/test_identity_signer.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/coordination/identity.hpp>
+#include <plumdale/coordination/identity_signer.hpp>
 
 #include <catch2/catch.hpp>
 
--- a/tests/coordination/test_key_homes.cpp
+++ b/tests/coordination/test_key_homes.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t nodes = 8;
 constexpr std::uint64_t keys = 800;
 
-std::vector<state::member> all_but(std::uint64_t self)
+std::vector<state::member> members_except(std::uint64_t self)
 {
     std::vector<state::member> members;
     for (std::uint64_t i = 1; i <= nodes; ++i)
@@ -39,16 +39,16 @@
     }
 }
 
-key_home_bounds const bounds{10min, 5s, nodes};
+key_home_settings const settings{10min, 5s, nodes};
 
 } // namespace
 
 TEST_CASE("members with the same view agree on every home", "[key_homes]")
 {
-    key_homes first{{1}, bounds};
-    key_homes second{{2}, bounds};
-    first.observe(all_but(1), state::time_point{1h});
-    second.observe(all_but(2), state::time_point{1h});
+    key_homes first{{1}, settings};
+    key_homes second{{2}, settings};
+    first.observe(members_except(1), state::time_point{1h});
+    second.observe(members_except(2), state::time_point{1h});
     std::uint64_t own = 0;
     for (std::uint64_t i = 1; i <= keys; ++i)
     {
@@ -64,12 +64,12 @@
 // may run first attempts and has to refuse the repeat.
 TEST_CASE("keys of a dead home pass on late and with an unknown past", "[key_homes]")
 {
-    key_homes homes{{1}, bounds};
-    auto members = all_but(1);
+    key_homes homes{{1}, settings};
+    auto members = members_except(1);
     homes.observe(members, state::time_point{1h});
     set_health(members, 2, state::member_health::dead);
     homes.observe(members, state::time_point{1h + 1s});
-    std::vector<state::key_id> lost;
+    std::vector<state::idempotency_key_id> lost;
     for (std::uint64_t i = 1; i <= keys; ++i)
     {
         if (homes.home_of({i}).value == 2)
@@ -79,10 +79,10 @@
     }
     REQUIRE_FALSE(lost.empty());
     homes.observe(members, state::time_point{1h + 6s});
-    for (state::key_id const key : lost)
+    for (state::idempotency_key_id const key : lost)
     {
         CHECK(homes.home_of(key).value != 2);
-        CHECK_FALSE(homes.home_all_along(key));
+        CHECK_FALSE(homes.home_throughout_window(key));
     }
 }
 
@@ -91,8 +91,8 @@
 // side takes none, and knows that it is the smaller.
 TEST_CASE("the smaller side of a cut takes no keys", "[key_homes]")
 {
-    key_homes homes{{1}, bounds};
-    auto members = all_but(1);
+    key_homes homes{{1}, settings};
+    auto members = members_except(1);
     homes.observe(members, state::time_point{1h});
     std::vector<state::node_id> before;
     for (std::uint64_t i = 1; i <= keys; ++i)
@@ -105,7 +105,7 @@
     }
     homes.observe(members, state::time_point{1h + 1s});
     homes.observe(members, state::time_point{3h});
-    CHECK_FALSE(homes.majority());
+    CHECK_FALSE(homes.in_majority());
     for (std::uint64_t i = 1; i <= keys; ++i)
     {
         CHECK(homes.home_of({i}) == before[i - 1]);
@@ -114,21 +114,21 @@
 
 TEST_CASE("a VM that knows fewer members than its settings name is incomplete", "[key_homes]")
 {
-    key_homes homes{{1}, bounds};
+    key_homes homes{{1}, settings};
     homes.observe({}, state::time_point{1h});
-    CHECK_FALSE(homes.complete());
-    CHECK_FALSE(homes.majority());
-    homes.observe(all_but(1), state::time_point{1h});
-    CHECK(homes.complete());
-    CHECK(homes.majority());
+    CHECK_FALSE(homes.knows_all_nodes());
+    CHECK_FALSE(homes.in_majority());
+    homes.observe(members_except(1), state::time_point{1h});
+    CHECK(homes.knows_all_nodes());
+    CHECK(homes.in_majority());
 }
 
 // A VM is cut off for so long that the others no longer list it. For one window it still runs first
 // attempts, and those may be repeated for another: until then its keys have an unknown past.
 TEST_CASE("a member that is listed no more counts for two windows", "[key_homes]")
 {
-    key_homes homes{{1}, bounds};
-    auto members = all_but(1);
+    key_homes homes{{1}, settings};
+    auto members = members_except(1);
     homes.observe(members, state::time_point{1h});
     std::uint64_t key = 1;
     while (homes.home_of({key}).value != 2)
@@ -138,7 +138,7 @@
     std::erase_if(members, [](state::member const& each) { return each.id.value == 2; });
     homes.observe(members, state::time_point{2h});
     homes.observe(members, state::time_point{2h + 19min});
-    CHECK_FALSE(homes.home_all_along({key}));
+    CHECK_FALSE(homes.home_throughout_window({key}));
     homes.observe(members, state::time_point{2h + 21min});
-    CHECK(homes.home_all_along({key}) == (homes.home_of({key}).value == 1));
+    CHECK(homes.home_throughout_window({key}) == (homes.home_of({key}).value == 1));
 }
--- a/tests/coordination/test_leaving_marks.cpp
+++ b/tests/coordination/test_leaving_marks.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-[[nodiscard]] state::upstream engine(std::uint64_t id, std::uint64_t uptime)
+[[nodiscard]] state::upstream engine(std::uint64_t id, std::uint64_t incarnation_number)
 {
     state::upstream upstream;
     upstream.id = {id};
-    upstream.uptime = {uptime};
+    upstream.incarnation_number = {incarnation_number};
     upstream.zone = {1};
     upstream.model = {1};
     return upstream;
@@ -49,9 +49,9 @@
     CHECK(marks.is_leaving({1}, {5}));
     CHECK(marks.is_leaving({1}, {4}));
     CHECK_FALSE(marks.is_leaving({1}, {6}));
-    marks.settle({1}, {5});
+    marks.prune({1}, {5});
     CHECK(marks.is_leaving({1}, {5}));
-    marks.settle({1}, {6});
+    marks.prune({1}, {6});
     CHECK_FALSE(marks.is_leaving({1}, {5}));
     CHECK(marks.digest() == leaving_marks{}.digest());
 }
@@ -76,7 +76,7 @@
     {
         fleet_loop loop{9, 3, 1, settings};
         loop.platform.list.upstreams = {engine(1, 5), engine(2, 5)};
-        publish_basics(loop);
+        publish_base_configuration(loop);
         loop.run_for(8s);
         REQUIRE(accepts(loop, 0, 1));
         loop.send(4, upstream_leaving{{1}, {5}});
@@ -101,13 +101,13 @@
 {
     fleet_loop loop{9, 3, 2};
     loop.platform.list.upstreams = {engine(1, 5)};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(8s);
     loop.connected = [](std::size_t a, std::size_t b)
     {
         return (a == 0) == (b == 0);
     };
-    loop.platform.zones_cut = {0};
+    loop.platform.disconnected_zones = {0};
     loop.run_for(30s);
     loop.send(1, upstream_leaving{{1}, {5}});
     loop.send(0, upstream_leaving{{2}, {5}});
@@ -127,11 +127,11 @@
 {
     fleet_loop loop{9, 3, 4};
     loop.platform.list.upstreams = {engine(1, 5)};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(8s);
     state::load_report report;
     report.upstream = {1};
-    report.uptime = {5};
+    report.incarnation_number = {5};
     report.sequence = 1;
     report.leaving = true;
     loop.send(2, load_reported{report});
@@ -143,7 +143,7 @@
 {
     fleet_loop loop{9, 3, 3};
     loop.platform.list.upstreams = {engine(1, 5)};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(8s);
     loop.send(4, upstream_leaving{{1}, {5}});
     loop.run_for(2s);
--- a/tests/coordination/test_length_estimator.cpp
+++ b/tests/coordination/test_length_estimator.cpp
@@ -17,17 +17,17 @@
 
 void learn(length_estimator& lengths, std::uint64_t customer, std::uint32_t tokens)
 {
-    auto const cell = lengths.open(key_of(customer));
-    lengths.advance(cell, 0, tokens);
-    lengths.finish(cell, tokens);
-    lengths.close(cell);
+    auto const estimate = lengths.open(key_of(customer));
+    lengths.advance(estimate, 0, tokens);
+    lengths.finish(estimate, tokens);
+    lengths.close(estimate);
 }
 
 double chance(length_estimator& lengths, std::uint64_t customer, std::uint32_t so_far, double more)
 {
-    auto const cell = lengths.open(key_of(customer));
-    double const result = lengths.survival(cell, so_far, more);
-    lengths.close(cell);
+    auto const estimate = lengths.open(key_of(customer));
+    double const result = lengths.survival(estimate, so_far, more);
+    lengths.close(estimate);
     return result;
 }
 
@@ -84,8 +84,8 @@
     length_estimator lengths{100};
     for (int i = 0; i < 20; ++i)
     {
-        auto const cell = lengths.open(key_of(1));
-        lengths.advance(cell, 0, 900); // Still running.
+        auto const estimate = lengths.open(key_of(1));
+        lengths.advance(estimate, 0, 900); // Still running.
         learn(lengths, 1, 50);
     }
     CHECK(chance(lengths, 1, 0, 800) > 0.35);
--- a/tests/coordination/test_load_book.cpp
+++ b/tests/coordination/test_load_forecaster.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-struct book_fixture
+struct forecaster_fixture
 {
     length_estimator lengths{100};
-    load_book book{lengths};
+    load_forecaster forecaster{lengths};
     upstream_gauge gauge;
 
     /// \brief Opens an own stream that holds `held` tokens from `now` on.
@@ -19,9 +19,9 @@
     {
         load_forecast forecast;
         forecast.mean = {held, held, held};
-        stream_load const load = load_book::rounded(held, forecast);
+        stream_load const load = load_forecaster::rounded(held, forecast);
         gauge.in_flight.fetch_add(1);
-        load_book::replace(gauge, {}, load, now);
+        load_forecaster::update_gauge(gauge, {}, load, now);
         return load;
     }
 };
@@ -30,41 +30,41 @@
 
 TEST_CASE("own streams count once, whether or not the report has seen them", "[load_book]")
 {
-    book_fixture f;
+    forecaster_fixture f;
     report(f.gauge, 100, 2, at(0)); // 1,600 tokens of others.
     f.hold(800, at(0.5));
-    CHECK(f.book.forecast(f.gauge, at(0.6)).held == Approx(2400));
+    CHECK(f.forecaster.forecast(f.gauge, at(0.6)).held == Approx(2400));
     report(f.gauge, 150, 3, at(1)); // Now the report holds the own stream too.
-    CHECK(f.book.forecast(f.gauge, at(1.5)).held == Approx(2400));
-    CHECK(f.book.forecast(f.gauge, at(1.5)).batch == Approx(3));
+    CHECK(f.forecaster.forecast(f.gauge, at(1.5)).held == Approx(2400));
+    CHECK(f.forecaster.forecast(f.gauge, at(1.5)).batch == Approx(3));
 }
 
 // An engine's reports are lost for minutes. The caller sees its answers as before: own streams are
 // counted without reports, and the others' part stays what it was, instead of falling to nothing.
 TEST_CASE("a lost report leaves own streams exact and the others' part as it was", "[load_book]")
 {
-    book_fixture f;
+    forecaster_fixture f;
     report(f.gauge, 100, 2, at(0));
     for (int i = 0; i < 10; ++i)
     {
         f.hold(1000, at(1 + 0.2 * i));
     }
-    CHECK(f.book.forecast(f.gauge, at(3)).held == Approx(11'600));
+    CHECK(f.forecaster.forecast(f.gauge, at(3)).held == Approx(11'600));
 }
 
 TEST_CASE("a wrong report can't make the others negative or larger than the memory", "[load_book]")
 {
-    book_fixture f;
+    forecaster_fixture f;
     f.hold(5000, at(0));
     report(f.gauge, 0, 0, at(1));
-    CHECK(f.book.forecast(f.gauge, at(1.2)).held == Approx(5000));
+    CHECK(f.forecaster.forecast(f.gauge, at(1.2)).held == Approx(5000));
     report(f.gauge, 1'000'000, 4'000'000, at(1.5));
-    CHECK(f.book.forecast(f.gauge, at(1.6)).held <= 5000 + 65'536);
+    CHECK(f.forecaster.forecast(f.gauge, at(1.6)).held <= 5000 + 65'536);
 }
 
 TEST_CASE("the forecast widens with the age of the report", "[load_book]")
 {
-    book_fixture f;
+    forecaster_fixture f;
     upstream_view view;
     view.gauge = std::shared_ptr<upstream_gauge>(&f.gauge, [](upstream_gauge*) {});
     upstream_view const* const engines[] = {&view};
@@ -73,28 +73,28 @@
     {
         f.hold(500, at(0.1 * i));
         f.gauge.dispatched.fetch_add(1);
-        f.book.refresh(engines, 8, std::chrono::seconds{20}, at(0.1 * i));
+        f.forecaster.refresh(engines, 8, std::chrono::seconds{20}, at(0.1 * i));
     }
-    auto const fresh = f.book.forecast(f.gauge, at(0.2));
-    auto const late = f.book.forecast(f.gauge, at(5));
+    auto const fresh = f.forecaster.forecast(f.gauge, at(0.2));
+    auto const late = f.forecaster.forecast(f.gauge, at(5));
     CHECK(late.load.variance[2] > fresh.load.variance[2]);
 }
 
 TEST_CASE("an ended stream leaves nothing behind", "[load_book]")
 {
-    book_fixture f;
+    forecaster_fixture f;
     report(f.gauge, 0, 0, at(0));
     stream_load const load = f.hold(700, at(1));
     f.gauge.in_flight.fetch_sub(1);
-    load_book::replace(f.gauge, load, {}, at(2));
-    auto const forecast = f.book.forecast(f.gauge, at(2));
+    load_forecaster::update_gauge(f.gauge, load, {}, at(2));
+    auto const forecast = f.forecaster.forecast(f.gauge, at(2));
     CHECK(forecast.held == 0);
     CHECK(forecast.load.mean[2] == 0);
 }
 
 TEST_CASE("the history tells what was held when a late report was true", "[held_history]")
 {
-    held_history history;
+    own_load_history history;
     CHECK(history.at(at(1), at(2), {9, 9}).tokens == 0);
     history.note(at(1), {100, 1});
     history.note(at(2), {300, 3});
--- a/tests/coordination/test_load_news.cpp
+++ b/tests/coordination/test_load_update_queue.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/coordination/load_news.hpp>
+#include <plumdale/coordination/load_update_queue.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -14,20 +14,21 @@
 constexpr state::time_point now{10s};
 constexpr std::size_t peers = 90;
 
-double bytes_of(std::size_t rows, std::size_t listeners)
+double bytes_of(std::size_t rows, std::size_t peer_count)
 {
-    return static_cast<double>(listeners) *
-           (load_news::datagram_bytes + load_news::row_bytes * static_cast<double>(rows));
+    return static_cast<double>(peer_count) *
+           (load_update_queue::datagram_overhead_bytes +
+            load_update_queue::row_bytes * static_cast<double>(rows));
 }
 
 } // namespace
 
 TEST_CASE("changes are told once, and together", "[load_news]")
 {
-    load_news news{30'000.0};
-    news.changed(first);
-    news.changed(second);
-    news.changed(first);
+    load_update_queue news{30'000.0};
+    news.push(first);
+    news.push(second);
+    news.push(first);
     CHECK(news.due(now, peers) == std::vector<state::member_key>{first, second});
     CHECK(news.due(now + 1s, peers).empty());
 }
@@ -37,10 +38,10 @@
 // is late.
 TEST_CASE("a change is told at once while the budget lasts", "[load_news]")
 {
-    load_news news{30'000.0};
+    load_update_queue news{30'000.0};
     for (int i = 0; i < 4; ++i)
     {
-        news.changed(first);
+        news.push(first);
         CHECK(news.due(now + i * 1ms, peers).size() == 1);
     }
 }
@@ -49,18 +50,18 @@
 // told in one message when the budget has grown, and nothing is forgotten.
 TEST_CASE("what exceeds the budget is told together later", "[load_news]")
 {
-    load_news news{load_news::full_size_rate};
+    load_update_queue news{load_update_queue::default_bytes_per_second};
     std::size_t told = 0;
     for (int i = 0; i < 50; ++i)
     {
-        news.changed(state::member_key{static_cast<std::uint64_t>(i)});
+        news.push(state::member_key{static_cast<std::uint64_t>(i)});
         told += news.due(now, peers).size();
     }
     CHECK(told < 5);
-    CHECK(news.due(now + 3s, peers).size() == load_news::most_rows);
+    CHECK(news.due(now + 3s, peers).size() == load_update_queue::max_rows);
     // That cost three bursts, which come back in six seconds.
     CHECK(news.due(now + 4s, peers).empty());
-    CHECK(news.due(now + 12s, peers).size() == 50 - told - load_news::most_rows);
+    CHECK(news.due(now + 12s, peers).size() == 50 - told - load_update_queue::max_rows);
 }
 
 // Load pattern: each entry VM of 9, 91 and 380 begins and ends 17 generations a second, its part of
@@ -71,20 +72,21 @@
     constexpr int seconds = 60;
     for (std::size_t const fleet : {std::size_t{9}, std::size_t{91}, std::size_t{380}})
     {
-        load_news news{load_news::full_size_rate};
+        load_update_queue news{load_update_queue::default_bytes_per_second};
         double bytes = 0.0;
         std::size_t messages = 0;
         for (int step = 0; step < seconds * 100; ++step)
         {
             auto const count = static_cast<std::uint64_t>(step);
-            news.changed(state::member_key{count % 97});
+            news.push(state::member_key{count % 97});
             auto const told = news.due(now + step * 10ms, fleet - 1);
             messages += told.empty() ? 0 : 1;
             bytes += told.empty() ? 0.0 : bytes_of(told.size(), fleet - 1);
         }
         INFO("fleet " << fleet << ", " << messages << " messages");
-        CHECK(bytes <= (seconds + load_news::burst_seconds) * load_news::full_size_rate +
-                           bytes_of(load_news::most_rows, fleet - 1));
+        CHECK(bytes <= (seconds + load_update_queue::burst_seconds) *
+                               load_update_queue::default_bytes_per_second +
+                           bytes_of(load_update_queue::max_rows, fleet - 1));
         CHECK(messages >= 2);
     }
 }
--- a/tests/coordination/test_membership.cpp
+++ b/tests/coordination/test_membership.cpp
@@ -9,18 +9,18 @@
 {
 
 [[nodiscard]] state::member_health health_at(fleet_loop const& loop, std::size_t node,
-                                             std::size_t about)
+                                             std::size_t subject)
 {
     auto const fleet = loop.fleet(node);
-    state::member const* const member = fleet->find_member(fleet_loop::id_of(about));
+    state::member const* const member = fleet->find_member(fleet_loop::id_of(subject));
     return member == nullptr ? state::member_health::dead : member->health;
 }
 
-[[nodiscard]] bool all_see(fleet_loop& loop, std::size_t about, state::member_health health)
+[[nodiscard]] bool all_see(fleet_loop& loop, std::size_t subject, state::member_health health)
 {
     for (std::size_t i = 0; i < loop.nodes().size(); ++i)
     {
-        if (i != about && loop.alive(i) && health_at(loop, i, about) != health)
+        if (i != subject && loop.alive(i) && health_at(loop, i, subject) != health)
         {
             return false;
         }
@@ -45,7 +45,7 @@
 TEST_CASE("entry VMs find each other through seeds", "[membership]")
 {
     fleet_loop loop{27, 3, 1};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     CHECK(loop.run_until(start_time + 5s, [&] { return all_alive_everywhere(loop); }));
 }
 
@@ -54,7 +54,7 @@
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
         fleet_loop loop{9, 3, seed};
-        publish_basics(loop);
+        publish_base_configuration(loop);
         loop.run_for(10s);
         loop.stop(seed % 9);
         bool const known = loop.run_until(
@@ -72,7 +72,7 @@
     auto const declared_dead = [](node_settings const& settings, std::uint64_t seed)
     {
         fleet_loop loop{9, 3, seed, settings};
-        publish_basics(loop);
+        publish_base_configuration(loop);
         loop.run_for(12s + seed * 37ms);
         peer_message message;
         message.sender = loop.nodes()[3].settings.self;
@@ -85,7 +85,7 @@
         loop.pause(4);
         loop.run_for(10s);
         CHECK(all_see(loop, 4, state::member_health::dead));
-        loop.nodes()[4].missed.clear();
+        loop.nodes()[4].buffered_events.clear();
         loop.wake(4, false);
         bool const dead = loop.run_until(
             loop.now() + 2s, [&] { return health_at(loop, 4, 7) == state::member_health::dead; });
@@ -109,7 +109,7 @@
     auto const declared_dead = [](node_settings const& settings)
     {
         fleet_loop loop{9, 3, 3, settings};
-        publish_basics(loop);
+        publish_base_configuration(loop);
         loop.run_for(12s);
         bool dead = false;
         loop.connected = [](std::size_t, std::size_t)
@@ -124,10 +124,10 @@
         for (int i = 0; i < 50; ++i)
         {
             loop.run_for(100ms);
-            for (std::size_t about = 0; about < 9; ++about)
+            for (std::size_t subject = 0; subject < 9; ++subject)
             {
-                dead = dead || all_see(loop, about, state::member_health::dead) ||
-                       health_at(loop, (about + 1) % 9, about) == state::member_health::dead;
+                dead = dead || all_see(loop, subject, state::member_health::dead) ||
+                       health_at(loop, (subject + 1) % 9, subject) == state::member_health::dead;
             }
         }
         CHECK(loop.run_until(loop.now() + 10s, [&] { return all_alive_everywhere(loop); }));
@@ -146,13 +146,13 @@
     auto const is_fooled = [](node_settings const& settings)
     {
         fleet_loop loop{9, 3, 4, settings};
-        publish_basics(loop);
+        publish_base_configuration(loop);
         loop.run_for(12s);
         state::member old = loop.nodes()[2].settings.self;
         loop.stop(2);
         loop.start(2);
         loop.run_for(5s);
-        state::incarnation const newest = loop.nodes()[2].settings.self.uptime;
+        state::incarnation const newest = loop.nodes()[2].settings.self.incarnation_number;
         peer_message message;
         message.sender = loop.nodes()[3].settings.self;
         old.health = state::member_health::dead;
@@ -164,7 +164,8 @@
                        {
                            auto const fleet = loop.fleet(5);
                            auto const* const member = fleet->find_member(fleet_loop::id_of(2));
-                           fooled = fooled || member == nullptr || member->uptime != newest;
+                           fooled =
+                               fooled || member == nullptr || member->incarnation_number != newest;
                            return fooled;
                        });
         return fooled;
@@ -181,13 +182,13 @@
 TEST_CASE("a process whose address was taken stops taking work", "[membership]")
 {
     fleet_loop loop{9, 3, 5};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(12s);
     REQUIRE(loop.fleet(6)->ready);
     peer_message message;
     message.sender = loop.nodes()[3].settings.self;
     message.members = {loop.nodes()[6].settings.self};
-    message.members[0].uptime.value += 1'000;
+    message.members[0].incarnation_number.value += 1'000;
     loop.send(5, datagram_received{fleet_loop::endpoint_of(3), message});
     CHECK(loop.run_until(
         loop.now() + 5s,
@@ -204,7 +205,7 @@
     {
         loop.platform.list.entry_vms.push_back(fleet_loop::endpoint_of(i));
     }
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(20s);
     CHECK(all_alive_everywhere(loop));
     CHECK(loop.fleet(0)->members.size() == 8);
@@ -213,7 +214,7 @@
 TEST_CASE("halves that declared each other dead find together again", "[membership]")
 {
     fleet_loop loop{9, 3, 7};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(12s);
     loop.connected = [](std::size_t a, std::size_t b)
     {
--- a/tests/coordination/test_order_planner.cpp
+++ b/tests/coordination/test_order_planner.cpp
@@ -23,7 +23,7 @@
 
 void publish_roles(fleet_loop& loop, bool fences)
 {
-    publish_basics(loop);
+    publish_base_configuration(loop);
     for (std::uint64_t i = 1; i <= engine_count; ++i)
     {
         state::upstream engine;
--- a/tests/coordination/test_member_health.cpp
+++ b/tests/coordination/test_outlier_detector.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/coordination/member_health.hpp>
+#include <plumdale/coordination/outlier_detector.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -15,7 +15,7 @@
 
 TEST_CASE("the usual share of failures sets no upstream aside", "[member_health]")
 {
-    member_health health;
+    outlier_detector health;
     state::time_point now{10s};
     for (int i = 0; i < 200; ++i)
     {
@@ -27,14 +27,14 @@
 
 TEST_CASE("an upstream that fails most calls is set aside and tried again", "[member_health]")
 {
-    member_health health;
+    outlier_detector health;
     state::time_point const now{10s};
     for (int i = 0; i < 4; ++i)
     {
         health.note(upstream, call_result::failed, now);
     }
     CHECK(health.penalty(upstream, now) == 1.0);
-    CHECK(health.penalty(upstream, now + member_health::first_pause + 1ms) < 1.0);
+    CHECK(health.penalty(upstream, now + outlier_detector::initial_ejection_time + 1ms) < 1.0);
     for (int i = 0; i < 4; ++i)
     {
         health.note(upstream, call_result::good, now + 1s);
@@ -44,7 +44,7 @@
 
 TEST_CASE("being full says nothing of an upstream's health", "[member_health]")
 {
-    member_health health;
+    outlier_detector health;
     state::time_point const now{10s};
     for (int i = 0; i < 20; ++i)
     {
--- a/tests/coordination/test_overflow_limit.cpp
+++ b/tests/coordination/test_overflow_limit.cpp
@@ -27,15 +27,18 @@
     overflow_limit limit;
     state::preset preset;
     preset.question_headroom = 0.2;
-    limit.use(preset);
-    CHECK(limit.check(engine_at(0.7), small, state::work_kind::draft, 1.0) == room::free);
-    CHECK(limit.check(engine_at(0.85), small, state::work_kind::draft, 1.0) == room::memory_full);
-    CHECK(limit.check(engine_at(0.85), small, state::work_kind::question, 1.0) == room::free);
+    limit.configure(preset);
+    CHECK(limit.check(engine_at(0.7), small, state::work_kind::draft, 1.0) ==
+          capacity_status::free);
+    CHECK(limit.check(engine_at(0.85), small, state::work_kind::draft, 1.0) ==
+          capacity_status::memory_full);
+    CHECK(limit.check(engine_at(0.85), small, state::work_kind::question, 1.0) ==
+          capacity_status::free);
     double const last_place = preset.max_batch - 1.0;
     CHECK(limit.check(engine_at(0.1, last_place), small, state::work_kind::draft, 1.0) ==
-          room::batch_full);
+          capacity_status::batch_full);
     CHECK(limit.check(engine_at(0.1, last_place), small, state::work_kind::question, 1.0) ==
-          room::free);
+          capacity_status::free);
 }
 
 // Drafts will have filled the engine in twenty seconds. A question is over long before, so that its
@@ -43,12 +46,12 @@
 TEST_CASE("a question is not held to the drafts' horizon", "[overflow_limit]")
 {
     overflow_limit limit;
-    limit.use(state::preset{});
+    limit.configure(state::preset{});
     engine_forecast engine = engine_at(0.7);
     engine.load.mean[2] = 9'900;
     engine.load.variance = {1e6, 1e6, 1e6};
-    CHECK(limit.check(engine, small, state::work_kind::question, 1.0) == room::free);
-    CHECK(limit.check(engine, small, state::work_kind::draft, 1.0) == room::memory_full);
+    CHECK(limit.check(engine, small, state::work_kind::question, 1.0) == capacity_status::free);
+    CHECK(limit.check(engine, small, state::work_kind::draft, 1.0) == capacity_status::memory_full);
 }
 
 TEST_CASE("a stricter chance of overflow keeps more deviations free", "[overflow_limit]")
@@ -56,10 +59,10 @@
     overflow_limit limit;
     state::preset preset;
     preset.overflow_chance = 0.05;
-    limit.use(preset);
+    limit.configure(preset);
     CHECK(limit.deviations() == Approx(1.645).margin(0.01));
     preset.overflow_chance = 0.005;
-    limit.use(preset);
+    limit.configure(preset);
     CHECK(limit.deviations() == Approx(2.576).margin(0.01));
 }
 
@@ -70,7 +73,7 @@
 {
     double const knee = GENERATE(0.8, 1.0, 1.2);
     overflow_limit limit;
-    limit.use(state::preset{});
+    limit.configure(state::preset{});
     double preempted = 0.0;
     for (int second = 0; second < 2000; ++second)
     {
@@ -85,7 +88,7 @@
 TEST_CASE("a limit that nothing meets is left alone", "[overflow_limit]")
 {
     overflow_limit limit;
-    limit.use(state::preset{});
+    limit.configure(state::preset{});
     for (int second = 0; second < 10'000; ++second)
     {
         limit.learn(0.0, 20.0, 12.0, false);
@@ -96,11 +99,11 @@
 TEST_CASE("a switch of the preset keeps what was learnt", "[overflow_limit]")
 {
     overflow_limit limit;
-    limit.use(state::preset{});
+    limit.configure(state::preset{});
     limit.learn(12.0, 20.0, 12.0, true);
     double const learnt = limit.factor();
     state::preset peak;
     peak.max_batch = 32;
-    limit.use(peak);
+    limit.configure(peak);
     CHECK(limit.factor() == learnt);
 }
--- a/tests/coordination/test_plain_calls.cpp
+++ b/tests/coordination/test_plain_calls.cpp
@@ -1,4 +1,4 @@
-#include "one_shard.hpp"
+#include "shard_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -10,13 +10,13 @@
 // not sent anywhere else.
 TEST_CASE("a call that may not be repeated is not sent again", "[plain_calls]")
 {
-    one_shard vm;
-    vm.tell(request_received{{1}, vm.run(state::work_kind::call, false), {}});
-    REQUIRE(vm.last<open_stream>() != nullptr);
-    vm.tell(upstream_failed{vm.last<open_stream>()->stream, upstream_failure::broken});
-    CHECK(vm.last<open_stream>() == nullptr);
-    REQUIRE(vm.last<send_refused>() != nullptr);
-    CHECK(vm.last<send_refused>()->kind == state::error_kind::may_have_run);
+    shard_fixture vm;
+    vm.send(request_received{{1}, vm.run_request(state::work_kind::call, false), {}});
+    REQUIRE(vm.last_action<open_stream>() != nullptr);
+    vm.send(upstream_failed{vm.last_action<open_stream>()->stream, upstream_failure::broken});
+    CHECK(vm.last_action<open_stream>() == nullptr);
+    REQUIRE(vm.last_action<send_refused>() != nullptr);
+    CHECK(vm.last_action<send_refused>()->kind == state::error_kind::may_have_run);
     CHECK(vm.in_flight == 0);
 }
 
@@ -26,13 +26,13 @@
          {std::pair{upstream_failure::not_connected, false},
           std::pair{upstream_failure::refused, false}, std::pair{upstream_failure::broken, true}})
     {
-        one_shard vm;
-        vm.tell(request_received{{1}, vm.run(state::work_kind::call, repeatable), {}});
-        open_stream const first = *vm.last<open_stream>();
-        vm.tell(upstream_failed{first.stream, why});
-        REQUIRE(vm.last<open_stream>() != nullptr);
-        CHECK(vm.last<open_stream>()->mode == stream_mode::start);
-        CHECK(vm.last<open_stream>()->upstream != first.upstream);
+        shard_fixture vm;
+        vm.send(request_received{{1}, vm.run_request(state::work_kind::call, repeatable), {}});
+        open_stream const first = *vm.last_action<open_stream>();
+        vm.send(upstream_failed{first.stream, why});
+        REQUIRE(vm.last_action<open_stream>() != nullptr);
+        CHECK(vm.last_action<open_stream>()->mode == stream_mode::start);
+        CHECK(vm.last_action<open_stream>()->upstream != first.upstream);
     }
 }
 
@@ -40,38 +40,38 @@
 // No service can be read again, so the owner keeps the answer, status included, and gives it out.
 TEST_CASE("a repeated key gets the answer of the first call", "[plain_calls]")
 {
-    one_shard vm;
-    state::request request = vm.run(state::work_kind::call, false);
+    shard_fixture vm;
+    state::request request = vm.run_request(state::work_kind::call, false);
     request.streamed = false;
     request.key = {42};
     request.attempt = 1;
-    vm.tell(request_received{{1}, request, {}});
-    open_stream const call = *vm.last<open_stream>();
-    vm.tell(caller_gone{{1}});
-    vm.tell(upstream_token{call.stream, call.generation, 0, "charged"});
-    vm.tell(upstream_finished{call.stream, call.generation, 1, 201});
+    vm.send(request_received{{1}, request, {}});
+    open_stream const call = *vm.last_action<open_stream>();
+    vm.send(caller_disconnected{{1}});
+    vm.send(upstream_token{call.stream, call.generation, 0, "charged"});
+    vm.send(upstream_finished{call.stream, call.generation, 1, 201});
     CHECK(vm.in_flight == 0);
 
     request.attempt = 2;
-    vm.tell(request_received{{2}, request, {}});
-    CHECK(vm.last<open_stream>() == nullptr);
-    REQUIRE(vm.last<send_finished>() != nullptr);
-    CHECK(vm.last<send_finished>()->text == "charged");
-    CHECK(vm.last<send_finished>()->status == 201);
+    vm.send(request_received{{2}, request, {}});
+    CHECK(vm.last_action<open_stream>() == nullptr);
+    REQUIRE(vm.last_action<send_finished>() != nullptr);
+    CHECK(vm.last_action<send_finished>()->text == "charged");
+    CHECK(vm.last_action<send_finished>()->status == 201);
 
     request.body = std::make_shared<std::string const>("another body");
-    vm.tell(request_received{{3}, request, {}});
-    REQUIRE(vm.last<send_refused>() != nullptr);
-    CHECK(vm.last<send_refused>()->kind == state::error_kind::key_in_use);
+    vm.send(request_received{{3}, request, {}});
+    REQUIRE(vm.last_action<send_refused>() != nullptr);
+    CHECK(vm.last_action<send_refused>()->kind == state::error_kind::key_in_use);
 }
 
 // A service takes the call and then says nothing for good. The caller is told after the bound, not
 // held until its own patience ends.
 TEST_CASE("a silent service is given up on", "[plain_calls]")
 {
-    one_shard vm;
-    vm.tell(request_received{{1}, vm.run(state::work_kind::call, false), {}});
-    vm.pass(vm.settings.first_token_timeout + 1s);
-    REQUIRE(vm.last<send_refused>() != nullptr);
-    CHECK(vm.last<send_refused>()->kind == state::error_kind::may_have_run);
+    shard_fixture vm;
+    vm.send(request_received{{1}, vm.run_request(state::work_kind::call, false), {}});
+    vm.advance(vm.settings.first_token_timeout + 1s);
+    REQUIRE(vm.last_action<send_refused>() != nullptr);
+    CHECK(vm.last_action<send_refused>()->kind == state::error_kind::may_have_run);
 }
--- a/tests/coordination/test_preset_agreement.cpp
+++ b/tests/coordination/test_preset_agreement.cpp
@@ -35,17 +35,19 @@
     return true;
 }
 
-void switch_at(fleet_loop& loop, std::size_t node, std::uint8_t who, std::string const& preset,
-               std::uint64_t over = 0)
+void switch_at(fleet_loop& loop, std::size_t node, std::uint8_t operator_number,
+               std::string const& preset, std::uint64_t over = 0)
 {
-    loop.send(node, operator_switch{{who}, operator_key(who), preset_named(preset), over});
+    loop.send(node,
+              operator_switch{
+                  {operator_number}, operator_key(operator_number), preset_named(preset), over});
 }
 
-[[nodiscard]] switch_answer const* answer_to(fleet_loop const& loop, std::uint8_t who)
+[[nodiscard]] switch_answer const* answer_to(fleet_loop const& loop, std::uint8_t operator_number)
 {
     for (auto const& [node, action] : loop.answers)
     {
-        if (action.exchange.value == who)
+        if (action.exchange.value == operator_number)
         {
             return &action.answer;
         }
@@ -65,7 +67,7 @@
                                                         node_settings const& settings = {})
 {
     auto loop = std::make_unique<fleet_loop>(9, 3, seed, settings);
-    publish_basics(*loop);
+    publish_base_configuration(*loop);
     loop->run_for(warm_up);
     return loop;
 }
@@ -85,9 +87,9 @@
     node_settings settings;
     settings.readers_per_zone = 1;
     fleet_loop loop{12, 3, 2, settings};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     loop.run_for(warm_up);
-    loop.platform.zones_cut = {0, 1};
+    loop.platform.disconnected_zones = {0, 1};
     loop.publish(7, switch_published{7, preset_named("peak")});
     CHECK(loop.run_until(loop.now() + 2s, [&] { return in_force_everywhere(loop, "peak"); }));
 }
@@ -164,7 +166,7 @@
 TEST_CASE("one entry VM alone serves by what the service says", "[preset_agreement]")
 {
     fleet_loop loop{1, 1, 6};
-    publish_basics(loop);
+    publish_base_configuration(loop);
     CHECK(loop.run_until(start_time + 5s, [&] { return loop.fleet(0)->ready; }));
 }
 
@@ -275,11 +277,11 @@
           "[preset_agreement]")
 {
     auto loop = settled_fleet(10);
-    loop->platform.visible = 6;
+    loop->platform.visible_revision = 6;
     loop->publish(7, switch_published{7, preset_named("maintenance")});
     switch_at(*loop, 4, 1, "peak", 7);
     loop->run_for(4s);
-    loop->platform.visible = UINT64_MAX;
+    loop->platform.visible_revision = UINT64_MAX;
     loop->notify_watchers();
     loop->run_for(30s);
     CHECK(in_force_everywhere(*loop, "peak"));
@@ -301,15 +303,15 @@
 TEST_CASE("a node that slept through a switch serves nothing under the old preset",
           "[preset_agreement]")
 {
-    auto const served_old = [](node_settings const& settings, bool told)
+    auto const served_old = [](node_settings const& settings, bool pause_reported)
     {
         auto loop = settled_fleet(12, settings);
         loop->pause(5);
         loop->run_for(2s);
         loop->publish(7, switch_published{7, preset_named("peak")});
         loop->run_for(20s);
-        loop->nodes()[5].missed.clear();
-        loop->wake(5, told);
+        loop->nodes()[5].buffered_events.clear();
+        loop->wake(5, pause_reported);
         bool const old = loop->run_until(
             loop->now() + 5s,
             [&]
@@ -322,9 +324,9 @@
         CHECK(in_force_everywhere(*loop, "peak"));
         return old;
     };
-    for (bool const told : {true, false})
+    for (bool const pause_reported : {true, false})
     {
-        CHECK_FALSE(served_old({}, told));
-        CHECK(served_old(without(safeguard::pause_recheck), told));
+        CHECK_FALSE(served_old({}, pause_reported));
+        CHECK(served_old(without(safeguard::pause_recheck), pause_reported));
     }
 }
--- a/tests/coordination/test_preset_recovery.cpp
+++ b/tests/coordination/test_preset_recovery.cpp
@@ -14,7 +14,7 @@
 [[nodiscard]] std::unique_ptr<fleet_loop> switched_fleet()
 {
     auto loop = std::make_unique<fleet_loop>(node_count, 3, 1);
-    publish_basics(*loop);
+    publish_base_configuration(*loop);
     loop->run_for(10s);
     loop->platform.down = true;
     loop->run_for(6s);
--- a/tests/coordination/test_progress_timeout.cpp
+++ b/tests/coordination/test_progress_timeout.cpp
@@ -9,27 +9,27 @@
 TEST_CASE("the allowed silence follows the gaps of the stream within its bounds",
           "[progress_timeout]")
 {
-    progress_bounds const bounds{30s, 300ms, 3s};
+    progress_timeout_bounds const bounds{30s, 300ms, 3s};
     progress_timeout gaps;
-    CHECK(gaps.allowed(bounds) == 30s);
+    CHECK(gaps.timeout(bounds) == 30s);
     state::time_point now{};
     gaps.token(now);
-    CHECK(gaps.allowed(bounds) == 3s);
+    CHECK(gaps.timeout(bounds) == 3s);
 
     for (int i = 0; i < 100; ++i)
     {
         gaps.token(now += 20ms);
     }
-    CHECK(gaps.allowed(bounds) == 300ms);
+    CHECK(gaps.timeout(bounds) == 300ms);
 
     for (int i = 0; i < 100; ++i)
     {
         gaps.token(now += i % 2 == 0 ? 50ms : 250ms);
     }
-    CHECK(gaps.allowed(bounds) > 600ms);
-    CHECK(gaps.allowed(bounds) < 1200ms);
+    CHECK(gaps.timeout(bounds) > 600ms);
+    CHECK(gaps.timeout(bounds) < 1200ms);
 
     gaps.restart();
     gaps.token(now += 1h);
-    CHECK(gaps.allowed(bounds) < 1200ms);
+    CHECK(gaps.timeout(bounds) < 1200ms);
 }
--- a/tests/coordination/test_projected_memory_policy.cpp
+++ b/tests/coordination/test_projected_memory_policy.cpp
@@ -21,7 +21,7 @@
 
     dispatch_decision ask(state::request const& request, state::time_point now)
     {
-        return policy.decide(first_try(request, now), fleet, now);
+        return policy.decide(first_attempt(request, now), fleet, now);
     }
 
     /// \brief Reports every engine this full.
@@ -44,7 +44,7 @@
     report(*f.fleet.upstreams[0].gauge, 4096, 40, at(1));
     report(*f.fleet.upstreams[2].gauge, 4096, 40, at(1));
     CHECK(f.ask(request, at(1.5)).upstream->info.zone == zone_b);
-    CHECK(f.policy.counts().spilled_no_room == 1);
+    CHECK(f.policy.counts().spilled_no_capacity == 1);
     f.fleet.upstreams[0].accepting = false;
     f.fleet.upstreams[2].accepting = false;
     CHECK(f.ask(request, at(2)).upstream->info.zone == zone_b);
@@ -65,8 +65,8 @@
     state::time_point now = at(1.2);
     while (decision.verdict == dispatch_verdict::wait)
     {
-        REQUIRE(decision.ask_again > now);
-        now = decision.ask_again;
+        REQUIRE(decision.reevaluate_at > now);
+        now = decision.reevaluate_at;
         decision = f.policy.decide({late, at(1.2), 0, {}}, f.fleet, now);
     }
     CHECK(decision.verdict == dispatch_verdict::refuse);
--- a/tests/coordination/test_key_memory.cpp
+++ b/tests/coordination/test_recent_keys.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/coordination/key_memory.hpp>
+#include <plumdale/coordination/recent_keys.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -16,11 +16,11 @@
 TEST_CASE("keys are forgotten after the window, and nothing is missed by that", "[key_memory]")
 {
     state::time_point const start{1h};
-    key_memory keys{10min, 100, start};
+    recent_keys keys{10min, 100, start};
     keys.remember({1}, entry, start);
     keys.remember({2}, entry, start + 10min);
     REQUIRE(keys.find({1}) != nullptr);
-    CHECK(keys.find({1})->content == 42);
+    CHECK(keys.find({1})->content_digest == 42);
     keys.remember({3}, entry, start + 11min);
     CHECK(keys.find({1}) == nullptr);
     CHECK(keys.find({2}) != nullptr);
@@ -33,7 +33,7 @@
 TEST_CASE("a key forgotten early moves the moment of complete memory", "[key_memory]")
 {
     state::time_point const start{1h};
-    key_memory keys{10min, 2, start};
+    recent_keys keys{10min, 2, start};
     keys.remember({1}, entry, start + 1s);
     keys.remember({2}, entry, start + 2s);
     keys.remember({1}, entry, start + 3s);
@@ -43,7 +43,7 @@
     CHECK(keys.find({2}) == nullptr);
     CHECK(keys.find({1}) != nullptr);
     CHECK(keys.complete_since() == start + 2s);
-    keys.missed_until(start + 9s);
+    keys.mark_incomplete_until(start + 9s);
     CHECK(keys.complete_since() == start + 9s);
     keys.clear_generation({1});
     CHECK_FALSE(keys.find({1})->generation);
--- a/tests/coordination/test_request_fleet.cpp
+++ b/tests/coordination/test_request_fleet.cpp
@@ -27,7 +27,7 @@
     }
 }
 
-void one_fault(request_fleet& fleet)
+void inject_random_fault(request_fleet& fleet)
 {
     std::size_t const node = fleet.random() % fleet.nodes.size();
     std::size_t const engine = fleet.random() % fleet.engines.size();
@@ -105,7 +105,7 @@
         for (int i = 0; i < 5; ++i)
         {
             fleet.loop.after(warm_up + std::chrono::milliseconds{fleet.random() % 12000},
-                             [&fleet] { one_fault(fleet); });
+                             [&fleet] { inject_random_fault(fleet); });
         }
         fleet.loop.run_until(fleet.loop.now() + 300s);
         callers.check();
--- a/tests/coordination/test_request_quarantine.cpp
+++ b/tests/coordination/test_request_quarantine.cpp
@@ -37,7 +37,7 @@
     CHECK(quarantine.upstream_ended(request, upstream(2), at(1s)));
     CHECK(quarantine.refuses(request, at(1s)));
     CHECK_FALSE(quarantine.refuses(other, at(1s)));
-    CHECK(quarantine.refused() == 1);
+    CHECK(quarantine.refused_count() == 1);
 }
 
 // Guards against counting one end twice: two attempts at one upstream tell of it, and peers repeat
@@ -47,7 +47,7 @@
     request_quarantine quarantine;
     CHECK(quarantine.upstream_ended(request, upstream(1), at(0s)));
     CHECK_FALSE(quarantine.upstream_ended(request, upstream(1), at(1s)));
-    quarantine.hear({request, upstream(1), 2s}, at(3s));
+    quarantine.apply_update({request, upstream(1), 2s}, at(3s));
     CHECK_FALSE(quarantine.refuses(request, at(3s)));
 }
 
@@ -74,29 +74,29 @@
     {
         CHECK_FALSE(here.upstream_ended(request, upstream(i), at(30s)));
         CHECK(there.upstream_ended(request, upstream(10 + i), at(30s)) ==
-              (i <= request_quarantine::ends_limit));
+              (i <= request_quarantine::refusal_threshold));
     }
     CHECK(there.refuses(request, at(30s)));
-    for (request_evidence const& each : there.untold())
+    for (request_evidence const& each : there.unreported())
     {
-        here.hear(each, at(30s));
+        here.apply_update(each, at(30s));
     }
-    for (request_evidence const& each : here.untold())
+    for (request_evidence const& each : here.unreported())
     {
-        there.hear(each, at(30s));
+        there.apply_update(each, at(30s));
     }
     CHECK_FALSE(there.refuses(request, at(30s)));
     // Its answers speak for it for a while only.
-    CHECK(here.upstream_ended(request, upstream(1), at(30s + 2 * answered_requests::kept)));
+    CHECK(here.upstream_ended(request, upstream(1), at(30s + 2 * answered_requests::retention)));
 }
 
 TEST_CASE("one answer to a peer's evidence is enough", "[quarantine]")
 {
     request_quarantine quarantine;
     quarantine.answered(request, at(0s));
-    quarantine.hear({request, upstream(1), 0s}, at(1s));
-    quarantine.hear({request, {}, 0s}, at(1s));
-    CHECK(quarantine.untold().empty());
+    quarantine.apply_update({request, upstream(1), 0s}, at(1s));
+    quarantine.apply_update({request, {}, 0s}, at(1s));
+    CHECK(quarantine.unreported().empty());
 }
 
 // Guards against VMs that differ for good after lost, repeated and reordered datagrams.
@@ -115,17 +115,17 @@
         request_quarantine another;
         for (request_evidence const& each : evidence)
         {
-            one.hear(each, at(1s));
+            one.apply_update(each, at(1s));
         }
         evidence.insert(evidence.end(), evidence.begin(), evidence.begin() + 4);
         std::shuffle(evidence.begin(), evidence.end(), random);
         for (request_evidence const& each : evidence)
         {
-            another.hear(each, at(1s));
+            another.apply_update(each, at(1s));
         }
         INFO("seed " << seed);
         REQUIRE(one.digest() == another.digest());
-        REQUIRE(one.refused() == another.refused());
+        REQUIRE(one.refused_count() == another.refused_count());
     }
 }
 
@@ -141,18 +141,18 @@
     request_quarantine another;
     for (request_evidence const& each : one.evidence(100, at(1s)))
     {
-        another.hear(each, at(1s));
+        another.apply_update(each, at(1s));
     }
     CHECK(another.digest() == one.digest());
-    CHECK(another.refused() == 10);
+    CHECK(another.refused_count() == 10);
     CHECK(one.evidence(20, at(1s)).size() == 20);
     // Of refused ones first.
     request_quarantine part;
     for (request_evidence const& each : one.evidence(20, at(1s)))
     {
-        part.hear(each, at(1s));
+        part.apply_update(each, at(1s));
     }
-    CHECK(part.refused() == 10);
+    CHECK(part.refused_count() == 10);
 }
 
 TEST_CASE("a refused request may be sent again once nobody asked for it for a while",
@@ -167,7 +167,7 @@
     CHECK(quarantine.refuses(request, at(2 * later)));
     CHECK_FALSE(quarantine.refuses(request, at(2 * later + request_quarantine::lifetime)));
     quarantine.forget(at(2 * later + request_quarantine::lifetime));
-    CHECK(quarantine.refused() == 0);
+    CHECK(quarantine.refused_count() == 0);
     CHECK(quarantine.digest() == 0);
 }
 
@@ -195,9 +195,10 @@
 TEST_CASE("old and empty evidence changes nothing", "[quarantine]")
 {
     request_quarantine quarantine;
-    CHECK_FALSE(quarantine.hear({request, upstream(1), request_quarantine::lifetime}, at(0s)));
-    CHECK_FALSE(quarantine.hear({{}, upstream(1), 0s}, at(0s)));
-    CHECK_FALSE(quarantine.hear({request, {}, 0s}, at(0s)));
+    CHECK_FALSE(
+        quarantine.apply_update({request, upstream(1), request_quarantine::lifetime}, at(0s)));
+    CHECK_FALSE(quarantine.apply_update({{}, upstream(1), 0s}, at(0s)));
+    CHECK_FALSE(quarantine.apply_update({request, {}, 0s}, at(0s)));
     CHECK(quarantine.digest() == 0);
 }
 
@@ -210,10 +211,10 @@
     {
         quarantine.upstream_ended(state::request_digest{i}, upstream(i % 20 + 1), at(0s));
     }
-    CHECK(quarantine.untold().size() == request_quarantine::most_told_per_second);
-    CHECK(quarantine.ended_under(state::request_digest{200}) == 1);
+    CHECK(quarantine.unreported().size() == request_quarantine::max_reports_per_second);
+    CHECK(quarantine.ended_upstream_count(state::request_digest{200}) == 1);
     CHECK(quarantine.digest() == 0);
     CHECK(quarantine.evidence(100, at(0s)).empty());
     quarantine.upstream_ended(state::request_digest{201}, upstream(1), at(1s));
-    CHECK(quarantine.untold().size() == 1);
+    CHECK(quarantine.unreported().size() == 1);
 }
--- a/tests/coordination/test_route_outcomes.cpp
+++ b/tests/coordination/test_route_outcomes.cpp
@@ -17,26 +17,26 @@
     outcomes.note("lists", call_outcome::refused);
     outcomes.note("lists", call_outcome::failed);
     outcomes.note("lists", call_outcome::failed);
-    outcomes.note("lists", call_outcome::left);
+    outcomes.note("lists", call_outcome::caller_disconnected);
     outcome_counts const& counts = outcomes.rows().at("lists");
     CHECK(counted_calls(counts) == 100);
-    CHECK(budget_used(counts, 0.98) == Approx(2.0));
-    CHECK(budget_used(counts, 0.96) == Approx(1.0));
+    CHECK(error_budget_used(counts, 0.98) == Approx(2.0));
+    CHECK(error_budget_used(counts, 0.96) == Approx(1.0));
 }
 
 TEST_CASE("a route without calls has used nothing", "[route_outcomes]")
 {
-    CHECK(budget_used({}, 0.99) == 0.0);
-    CHECK(budget_used({5, 5, 0, 0, 0}, 1.0) == 0.0);
+    CHECK(error_budget_used({}, 0.99) == 0.0);
+    CHECK(error_budget_used({5, 5, 0, 0, 0}, 1.0) == 0.0);
 }
 
 // A storm of configurations brings new route names for hours.
 TEST_CASE("the routes that are counted are bounded", "[route_outcomes]")
 {
     route_outcomes outcomes;
-    for (std::size_t i = 0; i < 3 * route_outcomes::most_routes; ++i)
+    for (std::size_t i = 0; i < 3 * route_outcomes::max_routes; ++i)
     {
         outcomes.note("r-" + std::to_string(i), call_outcome::on_time);
-        REQUIRE(outcomes.rows().size() <= route_outcomes::most_routes);
+        REQUIRE(outcomes.rows().size() <= route_outcomes::max_routes);
     }
 }
--- a/tests/coordination/test_service_directory.cpp
+++ b/tests/coordination/test_service_directory.cpp
@@ -40,7 +40,8 @@
 bool may_take_work(service_directory const& directory, std::string const& name,
                    state::time_point now)
 {
-    directory_entry const* const entry = directory.find(state::named<state::member_key>(name));
+    directory_entry const* const entry =
+        directory.find(state::id_from_name<state::member_key>(name));
     return entry != nullptr && directory.may_take_work(*entry, now);
 }
 
@@ -53,12 +54,12 @@
 {
     service_directory directory;
     state::time_point const now{10s};
-    directory.join(member_at("i-1", 5), now);
+    directory.merge(member_at("i-1", 5), now);
     CHECK(may_take_work(directory, "i-1", now));
 
-    CHECK(directory.join(leaving(member_at("i-1", 7)), now) == directory_change::leaving);
-    directory.join(member_at("i-1", 6), now);
-    directory.join(member_at("i-1", 9), now);
+    CHECK(directory.merge(leaving(member_at("i-1", 7)), now) == directory_change::leaving);
+    directory.merge(member_at("i-1", 6), now);
+    directory.merge(member_at("i-1", 9), now);
     CHECK_FALSE(may_take_work(directory, "i-1", now));
 }
 
@@ -68,14 +69,14 @@
 {
     service_directory directory;
     state::time_point const start{10s};
-    directory.join(member_at("i-1", 5), start);
-    directory.platform_returned(start + 5s);
-    directory.join(removed(member_at("i-1", 5), 8), start + 5s);
+    directory.merge(member_at("i-1", 5), start);
+    directory.platform_recovered(start + 5s);
+    directory.merge(removed(member_at("i-1", 5), 8), start + 5s);
 
     CHECK(may_take_work(directory, "i-1", start + 6s));
     CHECK_FALSE(may_take_work(directory, "i-1", start + 5s + service_directory::lapse_grace));
 
-    directory.join(member_at("i-1", 9), start + 6s);
+    directory.merge(member_at("i-1", 9), start + 6s);
     CHECK(may_take_work(directory, "i-1", start + 20s));
 }
 
@@ -83,8 +84,8 @@
 {
     service_directory directory;
     state::time_point const now{10s};
-    directory.join(member_at("i-1", 5), now);
-    directory.join(removed(member_at("i-1", 5), 6), now);
+    directory.merge(member_at("i-1", 5), now);
+    directory.merge(removed(member_at("i-1", 5), 6), now);
     CHECK_FALSE(may_take_work(directory, "i-1", now));
 }
 
@@ -99,7 +100,7 @@
     service_directory in_order;
     for (auto const& each : news)
     {
-        in_order.join(each, now);
+        in_order.merge(each, now);
     }
     std::minstd_rand random{1};
     for (int round = 0; round < 200; ++round)
@@ -108,7 +109,7 @@
         service_directory shuffled;
         for (auto const& each : news)
         {
-            shuffled.join(each, now);
+            shuffled.merge(each, now);
         }
         CHECK(shuffled.digest() == in_order.digest());
         for (char const* name : {"i-1", "i-2", "i-3"})
@@ -154,19 +155,19 @@
 {
     service_directory directory;
     state::time_point const now{10s};
-    directory.join(started(leaving(member_at("i-1", 5)), 100), now);
+    directory.merge(started(leaving(member_at("i-1", 5)), 100), now);
     CHECK_FALSE(latest_takes_work(directory, "i-1", now));
-    CHECK(directory.join(started(member_at("i-1", 8), 200), now) == directory_change::listed);
+    CHECK(directory.merge(started(member_at("i-1", 8), 200), now) == directory_change::listed);
     CHECK(latest_takes_work(directory, "i-1", now));
     CHECK(directory.members_of("lists").size() == 1);
 
     // The removal of the former start, told by a peer that lags.
-    directory.join(started(removed(member_at("i-1", 5), 7), 100), now);
+    directory.merge(started(removed(member_at("i-1", 5), 7), 100), now);
     CHECK(latest_takes_work(directory, "i-1", now));
     // The platform's own removal doesn't say of which start it is: of the latest.
-    directory.join(removed(member_at("i-1", 8), 9), now);
+    directory.merge(removed(member_at("i-1", 8), 9), now);
     CHECK_FALSE(latest_takes_work(directory, "i-1", now));
-    directory.join(started(member_at("i-1", 11), 300), now);
+    directory.merge(started(member_at("i-1", 11), 300), now);
     CHECK(latest_takes_work(directory, "i-1", now));
 }
 
@@ -176,9 +177,9 @@
 {
     service_directory directory;
     state::time_point const now{10s};
-    directory.join(started(member_at("i-1", 8), 200), now);
-    CHECK(directory.join(started(member_at("i-1", 20), 100), now) == directory_change::none);
-    CHECK(directory.join(started(leaving(member_at("i-1", 21)), 100), now) ==
+    directory.merge(started(member_at("i-1", 8), 200), now);
+    CHECK(directory.merge(started(member_at("i-1", 20), 100), now) == directory_change::none);
+    CHECK(directory.merge(started(leaving(member_at("i-1", 21)), 100), now) ==
           directory_change::none);
     CHECK(directory.latest("i-1") == state::key_of("i-1", state::incarnation{200}));
     CHECK(latest_takes_work(directory, "i-1", now));
@@ -193,15 +194,15 @@
 {
     service_directory directory;
     state::time_point const now{10s};
-    directory.join(started(member_at("i-1", 5), 100), now);
-    CHECK(directory.join(unusable("i-1", 7), now) == directory_change::unusable);
+    directory.merge(started(member_at("i-1", 5), 100), now);
+    CHECK(directory.merge(unusable("i-1", 7), now) == directory_change::unusable);
     CHECK_FALSE(latest_takes_work(directory, "i-1", now));
     CHECK_FALSE(directory.find(*directory.latest("i-1"))->info.leaving);
 
     // A peer that has only the good one: it is older than the bad one.
-    directory.join(started(member_at("i-1", 6), 100), now);
+    directory.merge(started(member_at("i-1", 6), 100), now);
     CHECK_FALSE(latest_takes_work(directory, "i-1", now));
-    CHECK(directory.join(started(member_at("i-1", 9), 100), now) == directory_change::listed);
+    CHECK(directory.merge(started(member_at("i-1", 9), 100), now) == directory_change::listed);
     CHECK(latest_takes_work(directory, "i-1", now));
 }
 
@@ -211,9 +212,9 @@
 {
     service_directory directory;
     state::time_point const now{10s};
-    directory.join(started(member_at("i-1", 5), 100), now);
-    directory.join(unusable("i-1", 7), now);
-    CHECK(directory.join(started(leaving(member_at("i-1", 9)), 100), now) ==
+    directory.merge(started(member_at("i-1", 5), 100), now);
+    directory.merge(unusable("i-1", 7), now);
+    CHECK(directory.merge(started(leaving(member_at("i-1", 9)), 100), now) ==
           directory_change::leaving);
     CHECK_FALSE(latest_takes_work(directory, "i-1", now));
 }
@@ -222,9 +223,9 @@
 {
     service_directory directory;
     state::time_point const now{10s};
-    directory.join(member_at("i-1", 5), now);
+    directory.merge(member_at("i-1", 5), now);
     CHECK(latest_takes_work(directory, "i-1", now));
-    directory.join(started(member_at("i-2", 6), 100), now);
+    directory.merge(started(member_at("i-2", 6), 100), now);
     CHECK_FALSE(latest_takes_work(directory, "i-1", now));
     CHECK(latest_takes_work(directory, "i-2", now));
 }
@@ -233,12 +234,12 @@
 {
     service_directory directory;
     state::time_point const now{10s};
-    directory.join(started(member_at("i-1", 5), 100), now);
+    directory.merge(started(member_at("i-1", 5), 100), now);
     state::service_member other = started(member_at("i-1", 6), 100);
     other.service = "unknown";
-    directory.join(other, now);
+    directory.merge(other, now);
     CHECK(directory.members_of("lists").empty());
-    directory.join(started(member_at("i-1", 7), 100), now);
+    directory.merge(started(member_at("i-1", 7), 100), now);
     CHECK(directory.members_of("lists").size() == 1);
     CHECK(directory.members_of("unknown").empty());
 }
@@ -279,13 +280,13 @@
         service_directory in_order;
         for (auto const& each : news)
         {
-            in_order.join(each, now);
+            in_order.merge(each, now);
         }
         std::shuffle(news.begin(), news.end(), random);
         service_directory shuffled;
         for (auto const& each : news)
         {
-            shuffled.join(each, now);
+            shuffled.merge(each, now);
         }
         REQUIRE(shuffled.digest() == in_order.digest());
         REQUIRE(shuffled.members_of("lists").size() == 5);
@@ -330,24 +331,24 @@
     service_directory ahead;
     for (std::uint64_t number = 0; number < 1'000; ++number)
     {
-        behind.join(numbered(number, 1), now);
-        ahead.join(numbered(number, 1), now);
+        behind.merge(numbered(number, 1), now);
+        ahead.merge(numbered(number, 1), now);
     }
     state::service_member leaving = numbered(17, 2);
     leaving.leaving = true;
-    ahead.join(leaving, now);
+    ahead.merge(leaving, now);
     state::service_member removed = numbered(400, 3);
     removed.listed = false;
-    ahead.join(removed, now);
-    ahead.join(numbered(2'000, 4), now);
+    ahead.merge(removed, now);
+    ahead.merge(numbered(2'000, 4), now);
 
-    auto const rows = ahead.rows_beside(behind.parts());
+    auto const rows = ahead.rows_differing_from(behind.digests_by_bucket());
     CHECK(rows.size() < 100);
     for (state::service_member const& row : rows)
     {
-        behind.join(row, now);
+        behind.merge(row, now);
     }
     CHECK(behind.digest() == ahead.digest());
-    CHECK(behind.parts() == ahead.parts());
-    CHECK(ahead.rows_beside(behind.parts()).empty());
+    CHECK(behind.digests_by_bucket() == ahead.digests_by_bucket());
+    CHECK(ahead.rows_differing_from(behind.digests_by_bucket()).empty());
 }
--- a/tests/coordination/test_silent_streams.cpp
+++ b/tests/coordination/test_silent_streams.cpp
@@ -1,4 +1,4 @@
-#include "one_shard.hpp"
+#include "shard_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -9,15 +9,15 @@
 {
 
 /// \brief Returns how long after its dispatch a request is started on another upstream.
-state::duration time_to_restart(one_shard& vm, state::request const& request)
+state::duration time_to_restart(shard_fixture& vm, state::request const& request)
 {
     state::time_point const asked = vm.now;
-    vm.tell(request_received{{1}, request, {}});
-    open_stream const first = *vm.last<open_stream>();
+    vm.send(request_received{{1}, request, {}});
+    open_stream const first = *vm.last_action<open_stream>();
     while (vm.now < asked + 10min)
     {
-        vm.pass(100ms);
-        open_stream const* const again = vm.last<open_stream>();
+        vm.advance(100ms);
+        open_stream const* const again = vm.last_action<open_stream>();
         if (again != nullptr && again->mode == stream_mode::start)
         {
             CHECK(again->upstream != first.upstream);
@@ -34,37 +34,37 @@
 // patience with the frozen engine, as for a stream that has tokens, held the shopper for 61 s.
 TEST_CASE("a repeatable request leaves an engine that stays silent", "[silent_streams]")
 {
-    one_shard vm;
+    shard_fixture vm;
     vm.settings.first_token_timeout = 2s;
-    CHECK(time_to_restart(vm, vm.run(state::work_kind::question, true)) <= 6s);
+    CHECK(time_to_restart(vm, vm.run_request(state::work_kind::question, true)) <= 6s);
 }
 
 // First tokens of questions come within 100 ms. The VM learns that, and no longer waits the longest
 // time that the settings allow before it looks whether the stream is alive.
 TEST_CASE("the patience with a first token is learnt", "[silent_streams]")
 {
-    one_shard vm;
+    shard_fixture vm;
     for (std::uint64_t i = 1; i <= 20; ++i)
     {
-        vm.tell(request_received{{100 + i}, vm.run(state::work_kind::question, true), {}});
-        open_stream const open = *vm.last<open_stream>();
-        vm.pass(100ms);
-        vm.tell(upstream_token{open.stream, open.generation, 0, "yes"});
-        vm.tell(upstream_finished{open.stream, open.generation, 1});
+        vm.send(request_received{{100 + i}, vm.run_request(state::work_kind::question, true), {}});
+        open_stream const open = *vm.last_action<open_stream>();
+        vm.advance(100ms);
+        vm.send(upstream_token{open.stream, open.generation, 0, "yes"});
+        vm.send(upstream_finished{open.stream, open.generation, 1});
     }
     CHECK(vm.settings.first_token_timeout == 30s);
-    CHECK(time_to_restart(vm, vm.run(state::work_kind::question, true)) <= 8s);
-    CHECK(time_to_restart(vm, vm.run(state::work_kind::draft, true)) > 25s);
+    CHECK(time_to_restart(vm, vm.run_request(state::work_kind::question, true)) <= 8s);
+    CHECK(time_to_restart(vm, vm.run_request(state::work_kind::draft, true)) > 25s);
 }
 
 // A billed draft on a frozen engine can't be run elsewhere. It is read again a few times, and then
 // the caller is told that it may have run, instead of being held for a quarter of an hour.
 TEST_CASE("a billed request on a silent engine is answered in bounded time", "[silent_streams]")
 {
-    one_shard vm;
+    shard_fixture vm;
     vm.settings.first_token_timeout = 2s;
-    vm.tell(request_received{{1}, vm.run(state::work_kind::draft, false), {}});
-    vm.pass(15s);
-    REQUIRE(vm.last<send_refused>() != nullptr);
-    CHECK(vm.last<send_refused>()->kind == state::error_kind::may_have_run);
+    vm.send(request_received{{1}, vm.run_request(state::work_kind::draft, false), {}});
+    vm.advance(15s);
+    REQUIRE(vm.last_action<send_refused>() != nullptr);
+    CHECK(vm.last_action<send_refused>()->kind == state::error_kind::may_have_run);
 }
--- a/tests/coordination/test_snapshot_in_use.cpp
+++ b/tests/coordination/test_snapshot_in_use.cpp
@@ -1,4 +1,4 @@
-#include "one_shard.hpp"
+#include "shard_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -13,7 +13,7 @@
 // address sanitizer.)
 TEST_CASE("a snapshot stays in use until its event is decided", "[snapshot_in_use]")
 {
-    one_shard vm;
+    shard_fixture vm;
     vm.view.members.push_back({{2}, {1}, {5}, 0, state::member_health::alive, {}, {}});
     state::generation_id const id = vm.signer.mint({2}, {5}, 1);
     vm.publish();
@@ -26,13 +26,13 @@
                                   vm.fleet.publish(std::make_shared<fleet_snapshot const>(next));
                               }
                           }};
-    state::request request = vm.run(state::work_kind::draft, false);
+    state::request request = vm.run_request(state::work_kind::draft, false);
     request.generation = id;
     std::size_t relayed = 0;
     for (std::uint64_t i = 1; i <= 5'000; ++i)
     {
-        vm.tell(request_received{{i}, request, {}});
-        relay_request const* const relay = vm.last<relay_request>();
+        vm.send(request_received{{i}, request, {}});
+        relay_request const* const relay = vm.last_action<relay_request>();
         relayed += relay != nullptr && relay->node == state::node_id{2} ? 1 : 0;
     }
     done = true;
--- a/tests/coordination/test_store_history.cpp
+++ b/tests/coordination/test_store_position_tracker.cpp
@@ -1,5 +1,5 @@
 #include <plumdale/coordination/evacuation_orders.hpp>
-#include <plumdale/coordination/store_history.hpp>
+#include <plumdale/coordination/store_position_tracker.hpp>
 #include <plumdale/state/store_position.hpp>
 
 #include <catch2/catch.hpp>
@@ -21,37 +21,37 @@
 TEST_CASE("what a copy holds is older than what was heard before, what is written since is newer",
           "[store_era]")
 {
-    store_history history;
-    CHECK_FALSE(history.begins_era(2));
-    history.note_read(100);
+    store_position_tracker history;
+    CHECK_FALSE(history.advance_era(2));
+    history.observe_revision(100);
     std::uint64_t const heard = history.position_of(97);
-    CHECK_FALSE(history.begins_era(2));
-    CHECK(history.begins_era(3));
-    history.note_read(90);
+    CHECK_FALSE(history.advance_era(2));
+    CHECK(history.advance_era(3));
+    history.observe_revision(90);
     CHECK(history.position_of(88) < heard);
     CHECK(history.position_of(91) > heard);
-    history.note_read(95);
+    history.observe_revision(95);
     CHECK(history.position_of(91) > heard);
-    CHECK(history.present(90) > heard);
-    CHECK(history.lagging(99) < history.present(1));
+    CHECK(history.current_position(90) > heard);
+    CHECK(history.lagging_position(99) < history.current_position(1));
     // An answer that was on its way.
-    CHECK_FALSE(history.begins_era(2));
+    CHECK_FALSE(history.advance_era(2));
     CHECK(history.era() == 3);
 }
 
 TEST_CASE("a store that tells no era is read as it is", "[store_era]")
 {
-    store_history history;
-    history.note_read(10);
+    store_position_tracker history;
+    history.observe_revision(10);
     CHECK(history.position_of(5) == 5);
-    CHECK(history.present(9) == 9);
-    CHECK(history.lagging(9) == 9);
+    CHECK(history.current_position(9) == 9);
+    CHECK(history.lagging_position(9) == 9);
 }
 
 // Guards against an order that a peer's set of the new era drops before it can be written again.
 TEST_CASE("the first set of an era drops no order, the next one does", "[store_era][evacuation]")
 {
-    constexpr auto east = state::named<state::zone_id>("east");
+    constexpr auto east = state::id_from_name<state::zone_id>("east");
     evacuation_orders orders;
     orders.take({state::store_position{1, 50}.value(), {{east, 45}}}, {});
     orders.take({state::store_position{2, 40}.value(), {}}, {});
--- a/tests/coordination/test_engine_directory.cpp
+++ b/tests/coordination/test_subset_selector.cpp
@@ -1,6 +1,6 @@
 #include "policy_fixture.hpp"
 
-#include <plumdale/coordination/capped_policy.hpp>
+#include <plumdale/coordination/memory_cap_policy.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -45,7 +45,7 @@
     smaller.upstreams.erase(smaller.upstreams.begin());
     for (std::uint64_t node = 1; node <= 60; ++node)
     {
-        engine_directory directory{state::node_id{node}, zone_a, {}};
+        subset_selector directory{state::node_id{node}, zone_a, {}};
         std::vector<state::upstream_id> before;
         for (upstream_view const* each : directory.select(fleet, lists).all)
         {
@@ -66,7 +66,7 @@
 TEST_CASE("a choice is kept for one version and follows the next", "[engine_directory]")
 {
     fleet_snapshot fleet = large_zone(4, 1);
-    engine_directory directory{state::node_id{1}, zone_a, {}};
+    subset_selector directory{state::node_id{1}, zone_a, {}};
     CHECK(directory.select(fleet, lists).own_zone.size() == 4);
     fleet.upstreams[0].accepting = false;
     ++fleet.version;
@@ -78,14 +78,14 @@
     fleet_snapshot fleet = fleet_of(2);
     report(*fleet.upstreams[0].gauge, 3500, 20, at(0));
     report(*fleet.upstreams[1].gauge, 3500, 20, at(0));
-    capped_policy policy{std::make_unique<least_reported_load>(), 0.8};
+    memory_cap_policy policy{std::make_unique<least_reported_load>(), 0.8};
     auto const draft = request_of(state::work_kind::draft);
     auto const question = request_of(state::work_kind::question);
-    CHECK(policy.decide(first_try(draft, at(1)), fleet, at(1)).kind ==
+    CHECK(policy.decide(first_attempt(draft, at(1)), fleet, at(1)).kind ==
           state::error_kind::overloaded);
-    CHECK(policy.decide(first_try(question, at(1)), fleet, at(1)).verdict ==
+    CHECK(policy.decide(first_attempt(question, at(1)), fleet, at(1)).verdict ==
           dispatch_verdict::dispatch);
     report(*fleet.upstreams[1].gauge, 100, 20, at(0));
-    CHECK(policy.decide(first_try(draft, at(1)), fleet, at(1)).upstream->info.id ==
+    CHECK(policy.decide(first_attempt(draft, at(1)), fleet, at(1)).upstream->info.id ==
           fleet.upstreams[1].info.id);
 }
--- a/tests/coordination/test_upstream_limits.cpp
+++ b/tests/coordination/test_upstream_limits.cpp
@@ -26,7 +26,7 @@
 
 state::node_id node(std::size_t index)
 {
-    return state::named<state::node_id>("vm-" + std::to_string(index));
+    return state::id_from_name<state::node_id>("vm-" + std::to_string(index));
 }
 
 /// \brief One entry VM that has known its peers for long.
@@ -36,11 +36,11 @@
     {
         for (std::size_t i = 0; i < vms; ++i)
         {
-            fleet_news news;
+            fleet_update news;
             news.sender = node(i);
-            news.uptime = state::incarnation{1};
+            news.incarnation_number = state::incarnation{1};
             news.sequence = 1;
-            fleet.hear(news, {}, 0, began - 10s);
+            fleet.apply_update(news, {}, 0, began - 10s);
         }
     }
 
@@ -50,13 +50,13 @@
 
 using fleet_of_vms = std::vector<std::unique_ptr<entry_vm>>;
 
-fleet_of_vms told_fleet(std::size_t vms, double per_second)
+fleet_of_vms limited_fleet(std::size_t vms, double per_second)
 {
     fleet_of_vms fleet;
     for (std::size_t i = 0; i < vms; ++i)
     {
         fleet.push_back(std::make_unique<entry_vm>(i, vms));
-        fleet.back()->limits.hear({member, per_second, 0s}, began);
+        fleet.back()->limits.apply_update({member, per_second, 0s}, began);
     }
     return fleet;
 }
@@ -70,12 +70,12 @@
 
 constexpr state::duration window = 4s;
 
-// Each VM sends whenever it may, looked at `looks` times a second.
-arrivals play(fleet_of_vms& fleet, int looks, state::duration time)
+// Each VM sends whenever it may, looked at `polls_per_second` times a second.
+arrivals play(fleet_of_vms& fleet, int polls_per_second, state::duration time)
 {
     arrivals found;
     std::deque<state::time_point> lately;
-    state::duration const step = std::chrono::duration_cast<state::duration>(1s) / looks;
+    state::duration const step = std::chrono::duration_cast<state::duration>(1s) / polls_per_second;
     for (state::time_point now = began; now < began + time; now += step)
     {
         for (auto const& vm : fleet)
@@ -85,7 +85,7 @@
                 continue;
             }
             vm->limits.note_sent(member, now);
-            vm->limits.hear({member, vm->limits.limit_of(member), 0s}, now);
+            vm->limits.apply_update({member, vm->limits.limit_of(member), 0s}, now);
             ++found.all;
             lately.push_back(now);
         }
@@ -108,7 +108,7 @@
     {
         for (double const limit : {0.5, 1.0, 3.1, 35.0, 200.0})
         {
-            fleet_of_vms fleet = told_fleet(vms, limit);
+            fleet_of_vms fleet = limited_fleet(vms, limit);
             arrivals const sent = play(fleet, 200, 20s);
             CAPTURE(vms, limit);
             // The users' rule allows one and a half times as much, and five.
@@ -124,7 +124,7 @@
 {
     for (std::size_t const vms : {9U, 300U})
     {
-        fleet_of_vms fleet = told_fleet(vms, 0.0);
+        fleet_of_vms fleet = limited_fleet(vms, 0.0);
         arrivals const sent = play(fleet, 20, 60s);
         CHECK(sent.all >= 4);
         CHECK(sent.most_in_window <= 5);
@@ -134,7 +134,7 @@
 // Guards against a VM whose calls came in a pause of others: it sends what it saved up at once.
 TEST_CASE("what was not sent is saved up for half a second at most", "[limits]")
 {
-    fleet_of_vms fleet = told_fleet(1, 20.0);
+    fleet_of_vms fleet = limited_fleet(1, 20.0);
     upstream_limits& limits = fleet.front()->limits;
     std::size_t sent = 0;
     while (limits.may_send(member, began + 10s))
@@ -151,20 +151,20 @@
     entry_vm vm{0, 9};
     upstream_limits& limits = vm.limits;
     CHECK(limits.answered(member, std::nullopt, began) == limit_change::none);
-    CHECK(limits.answered(member, 3.1, began) == limit_change::begins);
+    CHECK(limits.answered(member, 3.1, began) == limit_change::added);
     CHECK(limits.answered(member, 3.1, began + 500ms) == limit_change::none);
     // An answer that was made before the statement arrives after it.
     CHECK(limits.answered(member, std::nullopt, began + 600ms) == limit_change::none);
     CHECK(limits.limit_of(member) == 3.1);
-    CHECK(limits.answered(member, std::nullopt, began + 1'500ms) == limit_change::ends);
+    CHECK(limits.answered(member, std::nullopt, began + 1'500ms) == limit_change::removed);
     CHECK_FALSE(limits.limit_of(member));
     CHECK(limits.may_send(member, began + 1'500ms));
     // The newest only, however often it changed.
-    auto const told = limits.untold(began + 2s);
+    auto const told = limits.unreported(began + 2s);
     REQUIRE_FALSE(told.empty());
     CHECK_FALSE(told.back().per_second);
     CHECK(told.back().age == 500ms);
-    CHECK(limits.untold(began + 2s).empty());
+    CHECK(limits.unreported(began + 2s).empty());
 }
 
 TEST_CASE("another value holds at once, and is told where it differs", "[limits]")
@@ -172,12 +172,12 @@
     entry_vm vm{0, 9};
     upstream_limits& limits = vm.limits;
     limits.answered(member, 10.0, began);
-    static_cast<void>(limits.untold(began));
+    static_cast<void>(limits.unreported(began));
     CHECK(limits.answered(member, 10.2, began + 1s) == limit_change::none);
     CHECK(limits.limit_of(member) == 10.2);
-    CHECK(limits.untold(began + 1s).empty());
-    CHECK(limits.answered(member, 5.0, began + 2s) == limit_change::other_value);
-    CHECK(limits.untold(began + 2s).size() == 1);
+    CHECK(limits.unreported(began + 1s).empty());
+    CHECK(limits.answered(member, 5.0, began + 2s) == limit_change::updated);
+    CHECK(limits.unreported(began + 2s).size() == 1);
 }
 
 // Guards against a limit that was over and comes back by a message from before.
@@ -198,7 +198,7 @@
         state::duration newest_age = 1h;
         for (state::stated_limit const& each : told)
         {
-            vm.limits.hear(each, began);
+            vm.limits.apply_update(each, began);
             if (each.age < newest_age)
             {
                 newest_age = each.age;
@@ -214,35 +214,35 @@
 TEST_CASE("a limit that nobody repeats lapses, one that peers repeat doesn't", "[limits]")
 {
     entry_vm vm{0, 9};
-    vm.limits.hear({member, 3.0, 0s}, began);
-    vm.limits.hear({other, 3.0, 0s}, began);
-    vm.limits.hear({other, 3.0, 0s}, began + 20s);
-    vm.limits.sweep(began + upstream_limits::lapse);
+    vm.limits.apply_update({member, 3.0, 0s}, began);
+    vm.limits.apply_update({other, 3.0, 0s}, began);
+    vm.limits.apply_update({other, 3.0, 0s}, began + 20s);
+    vm.limits.sweep(began + upstream_limits::lifetime);
     CHECK_FALSE(vm.limits.limit_of(member));
     CHECK(vm.limits.limit_of(other) == 3.0);
-    vm.limits.hear({member, 3.0, upstream_limits::lapse}, began + 30s);
+    vm.limits.apply_update({member, 3.0, upstream_limits::lifetime}, began + 30s);
     CHECK_FALSE(vm.limits.limit_of(member));
 }
 
 TEST_CASE("a VM repeats to peers what it read itself lately", "[limits]")
 {
     entry_vm vm{0, 9};
-    vm.limits.hear({other, 3.0, 0s}, began);
+    vm.limits.apply_update({other, 3.0, 0s}, began);
     CHECK(vm.limits.confirmed(10, began).empty());
     vm.limits.answered(member, 3.1, began);
     REQUIRE(vm.limits.confirmed(10, began + 1s).size() == 1);
     CHECK(vm.limits.confirmed(10, began + 1s)[0].age == 1s);
     CHECK(vm.limits.confirmed(0, began + 1s).empty());
-    CHECK(vm.limits.confirmed(10, began + upstream_limits::confirmed_for).empty());
+    CHECK(vm.limits.confirmed(10, began + upstream_limits::rebroadcast_time).empty());
 }
 
 TEST_CASE("a number that is none is not taken", "[limits]")
 {
     entry_vm vm{0, 9};
-    vm.limits.hear({member, std::nan(""), 0s}, began);
-    vm.limits.hear({member, -1.0, 0s}, began);
+    vm.limits.apply_update({member, std::nan(""), 0s}, began);
+    vm.limits.apply_update({member, -1.0, 0s}, began);
     CHECK_FALSE(vm.limits.limit_of(member));
-    vm.limits.hear({member, 1e300, 0s}, began);
+    vm.limits.apply_update({member, 1e300, 0s}, began);
     CHECK(vm.limits.may_send(other, began));
     CHECK(vm.limits.limit_of(member) <= 1e6);
 }
--- a/tests/coordination/test_member_choice.cpp
+++ b/tests/coordination/test_upstream_selector.cpp
@@ -1,4 +1,4 @@
-#include <plumdale/coordination/member_choice.hpp>
+#include <plumdale/coordination/upstream_selector.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -27,16 +27,16 @@
     return service;
 }
 
-struct scene
+struct selector_fixture
 {
     service_directory directory;
     load_ledger ledger;
-    member_health health;
+    outlier_detector health;
     std::minstd_rand random{1};
     fleet_view fleet{state::node_id{1}};
-    cold_share share{fleet, state::node_id{1}, {}};
+    cold_upstream_limiter share{fleet, state::node_id{1}, {}};
     upstream_limits limits{fleet, {}};
-    member_choice choice{directory, ledger, health, share, limits, "a", random};
+    upstream_selector selector{directory, ledger, health, share, limits, "a", random};
 
     state::member_key add(std::string const& name, std::string const& zone)
     {
@@ -46,7 +46,7 @@
         member.zone = zone;
         member.slots = 24;
         member.revision = 1;
-        directory.join(member, now);
+        directory.merge(member, now);
         return state::key_of(member);
     }
 };
@@ -55,62 +55,62 @@
 
 TEST_CASE("the least full upstream of the own zone is taken", "[member_choice]")
 {
-    scene fleet;
+    selector_fixture fleet;
     state::member_key const full = fleet.add("i-1", "a");
     state::member_key const free = fleet.add("i-2", "a");
     fleet.add("i-3", "b");
     fleet.ledger.add(full, {full, 4, 12'000, 14'000, 0});
-    auto const chosen = fleet.choice.choose(lists(), {3'000, 500}, {"a"}, now);
+    auto const chosen = fleet.selector.choose(lists(), {3'000, 500}, {"a"}, now);
     REQUIRE(chosen);
     CHECK(chosen->member == free);
 }
 
 TEST_CASE("another zone takes over when the own one is crowded", "[member_choice]")
 {
-    scene fleet;
+    selector_fixture fleet;
     state::member_key const own = fleet.add("i-1", "a");
     state::member_key const other = fleet.add("i-2", "b");
     fleet.ledger.add(own, {own, 5, 15'000, 17'000, 0});
-    CHECK(fleet.choice.choose(lists(), {3'000, 500}, {"a"}, now)->member == other);
+    CHECK(fleet.selector.choose(lists(), {3'000, 500}, {"a"}, now)->member == other);
 }
 
 // A question waits 1.3 s for its first event though its upstream's memory is almost empty: three
 // long prompts are read before it. Memory alone doesn't show that.
 TEST_CASE("prompts that are still to be read weigh like the wait they mean", "[member_choice]")
 {
-    scene fleet;
+    selector_fixture fleet;
     state::member_key const reading = fleet.add("i-1", "a");
     state::member_key const busy = fleet.add("i-2", "a");
     fleet.ledger.add(reading, {reading, 3, 9'000, 9'000, 9'000});
     fleet.ledger.add(busy, {busy, 3, 11'000, 12'000, 0});
-    auto const chosen = fleet.choice.choose(lists(), {2'100, 12}, {"a"}, now);
+    auto const chosen = fleet.selector.choose(lists(), {2'100, 12}, {"a"}, now);
     REQUIRE(chosen);
     CHECK(chosen->member == busy);
-    CHECK(chosen->first_event == 300ms);
+    CHECK(chosen->time_to_first_event == 300ms);
 }
 
 TEST_CASE("an upstream that fails gets nothing while another can take it", "[member_choice]")
 {
-    scene fleet;
+    selector_fixture fleet;
     state::member_key const failing = fleet.add("i-1", "a");
     state::member_key const other = fleet.add("i-2", "b");
     fleet.health.note(failing, call_result::unreachable, now);
-    CHECK(fleet.choice.choose(lists(), {}, {"a"}, now)->member == other);
+    CHECK(fleet.selector.choose(lists(), {}, {"a"}, now)->member == other);
     std::array<state::member_key, 1> const excluded{other};
-    CHECK(fleet.choice.choose(lists(), {}, {"a", excluded}, now)->member == failing);
+    CHECK(fleet.selector.choose(lists(), {}, {"a", excluded}, now)->member == failing);
 }
 
 TEST_CASE("there is no choice among upstreams that leave", "[member_choice]")
 {
-    scene fleet;
+    selector_fixture fleet;
     fleet.add("i-1", "a");
     state::service_member leaving;
     leaving.name = "i-1";
     leaving.service = "lists";
     leaving.leaving = true;
     leaving.revision = 2;
-    fleet.directory.join(leaving, now);
-    CHECK_FALSE(fleet.choice.choose(lists(), {}, {"a"}, now));
+    fleet.directory.merge(leaving, now);
+    CHECK_FALSE(fleet.selector.choose(lists(), {}, {"a"}, now));
 }
 
 // Load pattern: 45 crowded upstreams, one comes, and thirty entry VMs with waiting calls decide
@@ -124,7 +124,7 @@
     std::size_t met = 0;
     for (std::size_t decider = 0; decider < deciders; ++decider)
     {
-        scene fleet;
+        selector_fixture fleet;
         fleet.random.seed(static_cast<std::minstd_rand::result_type>(decider + 1));
         for (int i = 0; i < 45; ++i)
         {
@@ -133,7 +133,7 @@
             fleet.ledger.add(crowded, {crowded, 6, 18'000, 20'000, 3'000});
         }
         state::member_key const fresh = fleet.add("i-new", "a");
-        met += fleet.choice.choose(lists(), {3'000, 700}, {"a"}, now)->member == fresh ? 1 : 0;
+        met += fleet.selector.choose(lists(), {3'000, 700}, {"a"}, now)->member == fresh ? 1 : 0;
     }
     CHECK(met <= deciders / 3);
 }
@@ -150,7 +150,7 @@
     std::mt19937 seeds{1};
     for (std::size_t decider = 0; decider < 30; ++decider)
     {
-        scene fleet;
+        selector_fixture fleet;
         fleet.random.seed(seeds());
         for (int i = 0; i < 45; ++i)
         {
@@ -161,8 +161,8 @@
         bool found = false;
         for (int look = 0; look < looks; ++look)
         {
-            auto const seen = fleet.choice.choose(lists(), {3'000, 700},
-                                                  {"a", {}, choice_terms::other_zone, 1}, now);
+            auto const seen = fleet.selector.choose(
+                lists(), {3'000, 700}, {"a", {}, selection_options::other_zone_penalty, 1}, now);
             found = found || (seen && seen->member == fresh);
         }
         met += found ? 1 : 0;
@@ -175,7 +175,7 @@
 // 12 equal upstreams of three zones: no upstream gets more than two above its share.
 TEST_CASE("deciders that hear each other spread drafts evenly", "[member_choice][load]")
 {
-    scene fleet;
+    selector_fixture fleet;
     for (int i = 0; i < 12; ++i)
     {
         fleet.add("i-" + std::to_string(i), std::string(1, static_cast<char>('a' + i % 3)));
@@ -184,7 +184,7 @@
     for (int i = 0; i < 60; ++i)
     {
         std::string const zone(1, static_cast<char>('a' + i % 3));
-        auto const chosen = fleet.choice.choose(lists(), {3'000, 900}, {zone}, now);
+        auto const chosen = fleet.selector.choose(lists(), {3'000, 900}, {zone}, now);
         REQUIRE(chosen);
         ++taken[chosen->member];
         fleet.ledger.add(chosen->member, {chosen->member, 1, 3'000, 3'900, 0});
@@ -202,7 +202,7 @@
 {
     for (std::size_t const upstreams : {20U, 44U, 122U})
     {
-        scene fleet;
+        selector_fixture fleet;
         std::vector<state::member_key> idle;
         for (std::size_t i = 0; i < upstreams; ++i)
         {
@@ -218,9 +218,9 @@
         constexpr int looks = 1'000;
         for (int i = 0; i < looks; ++i)
         {
-            choice_terms terms{"a"};
-            terms.candidates = choice_terms::thorough_candidates;
-            auto const chosen = fleet.choice.choose(lists(), {6'300, 12}, terms, now);
+            selection_options options{"a"};
+            options.candidates = selection_options::thorough_candidates;
+            auto const chosen = fleet.selector.choose(lists(), {6'300, 12}, options, now);
             found += std::find(idle.begin(), idle.end(), chosen->member) != idle.end() ? 1 : 0;
         }
         CAPTURE(upstreams);
--- a/tests/faults/control_cells.cpp
+++ b/tests/faults/control_cells.cpp
@@ -80,7 +80,7 @@
 
 void upstream_leaving_step(control_scene& scene)
 {
-    scene.checker.marked();
+    scene.checker.record_leaving_mark();
     scene.loop.send(scene.node, upstream_leaving{{1}, {1}});
     scene.checker.step(200ms + within(scene, 300ms));
 }
@@ -109,7 +109,7 @@
     {
         state::upstream engine;
         engine.id = {i};
-        engine.uptime = {1};
+        engine.incarnation_number = {1};
         engine.zone = {i % zone_count + 1};
         engine.model = {1};
         engine.fences_orders = i % 2 == 0;
@@ -142,8 +142,8 @@
         return true;
     };
     scene.loop.platform.down = false;
-    scene.loop.platform.visible = UINT64_MAX;
-    scene.loop.platform.zones_cut.clear();
+    scene.loop.platform.visible_revision = UINT64_MAX;
+    scene.loop.platform.disconnected_zones.clear();
     scene.loop.notify_watchers();
     scene.checker.step(40s);
 }
@@ -181,11 +181,11 @@
         {found.served_old, "a node came back and served under an old preset"},
         {found.lost_switches, "an accepted switch was lost"},
         {found.divergence, "nodes disagreed or did not serve after the heal"},
-        {found.leaving_work, "a leaving upstream was offered again"},
+        {found.leaving_offered, "a leaving upstream was offered again"},
         {found.late_marks, "a leaving upstream was offered after 2 s"},
-        {found.member_faults, "a living member was not seen alive"},
-        {found.silent_answers, "an operator got no answer, or two"},
-        {found.cut_requests, "a drain ended with requests in flight"},
+        {found.members_not_alive, "a living member was not seen alive"},
+        {found.missing_or_repeated_answers, "an operator got no answer, or two"},
+        {found.requests_cut_by_drain, "a drain ended with requests in flight"},
         {found.wrong_orders, "an engine follows an old order"},
         {unexpected ? 1U : 0U, "another preset than the last one is in force"},
     }};
@@ -211,7 +211,7 @@
     testing::fleet_loop loop{node_count, zone_count, seed, settings};
     testing::control_checker checker{loop};
     loop.engine_delay = 300ms;
-    testing::publish_basics(loop);
+    testing::publish_base_configuration(loop);
     publish_engines(loop);
     checker.step(settled);
     control_scene scene{loop, checker, random, 1 + random() % 2, 3 + random() % 3, {}};
@@ -221,7 +221,7 @@
         fault->strike(scene);
     }
     heal(scene);
-    checker.check_end();
+    checker.check_final_state();
     check_orders(scene);
     // What is in flight ends at last; then a drain has to end too.
     bool const drains = step.reach == &member_leaving && scene.loop.fleet(scene.other)->draining;
@@ -229,7 +229,7 @@
     {
         loop.nodes()[scene.other].in_flight->store(0);
         checker.step(1s);
-        checker.found.cut_requests += has_drained(scene) ? 0 : 1;
+        checker.found.requests_cut_by_drain += has_drained(scene) ? 0 : 1;
     }
     bool const unexpected =
         !scene.expected.empty() && loop.fleet(0)->in_force.preset != preset_named(scene.expected);
@@ -245,7 +245,7 @@
     settings.safeguards = safeguards;
     testing::fleet_loop loop{node_count, zone_count, seed, settings};
     testing::control_checker checker{loop};
-    testing::publish_basics(loop);
+    testing::publish_base_configuration(loop);
     checker.step(settled);
     peer_message forged;
     forged.sender = loop.nodes()[3].settings.self;
--- a/tests/faults/control_faults.cpp
+++ b/tests/faults/control_faults.cpp
@@ -31,7 +31,8 @@
                        {
                            return node.control != nullptr && !node.paused &&
                                   node.settings.self.id == member.id &&
-                                  node.settings.self.uptime == member.uptime;
+                                  node.settings.self.incarnation_number ==
+                                      member.incarnation_number;
                        });
 }
 
@@ -59,7 +60,7 @@
 {
     scene.loop.pause(scene.node);
     scene.checker.step(10s);
-    scene.loop.nodes()[scene.node].missed.clear();
+    scene.loop.nodes()[scene.node].buffered_events.clear();
     scene.loop.loss = 1;
     scene.loop.wake(scene.node, scene.random() % 2 == 0);
     scene.checker.step(1s);
@@ -70,7 +71,7 @@
 void sleeps_through_switch(control_scene& scene)
 {
     scene.loop.pause(scene.node);
-    scene.loop.platform.visible = UINT64_MAX;
+    scene.loop.platform.visible_revision = UINT64_MAX;
     scene.loop.publish(30, switch_published{30, testing::preset_named("maintenance")});
     scene.expected = "maintenance";
     scene.checker.step(10s);
@@ -87,7 +88,8 @@
 // The new process hears nobody for a second, while the service answers, with what it had before.
 void starts_cut_off(control_scene& scene)
 {
-    scene.loop.platform.visible = std::min<std::uint64_t>(scene.loop.platform.visible, 6);
+    scene.loop.platform.visible_revision =
+        std::min<std::uint64_t>(scene.loop.platform.visible_revision, 6);
     scene.loop.stop(scene.other);
     scene.checker.step(4s);
     scene.loop.loss = 1;
@@ -106,19 +108,19 @@
     peer_message message;
     message.sender = scene.loop.nodes()[scene.other].settings.self;
     message.members = {scene.loop.nodes()[scene.node].settings.self};
-    message.members[0].uptime.value -= 1;
+    message.members[0].incarnation_number.value -= 1;
     message.members[0].health = state::member_health::dead;
     scene.loop.send(0, datagram_received{scene.loop.endpoint_of(scene.other), message});
     scene.checker.step(40ms);
     auto const fleet = scene.loop.fleet(0);
     auto const* const member = fleet->find_member(scene.loop.id_of(scene.node));
     bool const fooled = member == nullptr || member->health == state::member_health::dead;
-    scene.checker.found.member_faults += fooled ? 1 : 0;
+    scene.checker.found.members_not_alive += fooled ? 1 : 0;
 }
 
 void link_stalls(control_scene& scene)
 {
-    scene.checker.calm = false;
+    scene.checker.network_reliable = false;
     scene.loop.loss = 1;
     scene.checker.step(1300ms);
     scene.loop.loss = 0;
@@ -129,7 +131,7 @@
         {
             auto const fleet = scene.loop.fleet(at);
             // A stall shorter than the time to refute kills nobody.
-            scene.checker.found.member_faults += static_cast<std::size_t>(
+            scene.checker.found.members_not_alive += static_cast<std::size_t>(
                 std::count_if(fleet->members.begin(), fleet->members.end(),
                               [&](state::member const& each)
                               {
@@ -142,13 +144,13 @@
 
 void zone_cut(control_scene& scene)
 {
-    scene.checker.calm = false;
+    scene.checker.network_reliable = false;
     std::size_t const cut = scene.random() % 3;
     scene.loop.connected = [cut](std::size_t a, std::size_t b)
     {
         return (a == cut) == (b == cut);
     };
-    scene.loop.platform.zones_cut = {cut};
+    scene.loop.platform.disconnected_zones = {cut};
     scene.checker.step(20s);
 }
 
@@ -169,7 +171,7 @@
 {
     scene.loop.platform.down = true;
     scene.checker.step(15s);
-    scene.loop.platform.visible = 6;
+    scene.loop.platform.visible_revision = 6;
     scene.loop.platform.down = false;
     scene.loop.stop(scene.other);
     scene.loop.start(scene.other);
@@ -204,7 +206,7 @@
 // The VM that takes the switch reaches nobody, and dies as soon as it answered.
 void cut_off_and_dies(control_scene& scene)
 {
-    scene.checker.calm = false;
+    scene.checker.network_reliable = false;
     scene.loop.loss = 1;
     scene.ask(scene.node, 2, "maintenance");
     scene.checker.step(2s);
--- a/tests/faults/control_faults.hpp
+++ b/tests/faults/control_faults.hpp
@@ -28,7 +28,7 @@
 
     void ask(std::size_t at, std::uint64_t exchange, std::string const& preset)
     {
-        checker.asked(exchange, at);
+        checker.record_switch_request(exchange, at);
         auto const who = static_cast<std::uint8_t>(exchange);
         loop.send(at,
                   coordination::operator_switch{
--- a/tests/faults/main.cpp
+++ b/tests/faults/main.cpp
@@ -276,7 +276,7 @@
                   page.getValue(), processes.getValue(), {}};
     if (off.isSet())
     {
-        safeguard const which = plumdale::coordination::safeguard_named(off.getValue());
+        safeguard const which = plumdale::coordination::safeguard_from_name(off.getValue());
         if (which == safeguard::count)
         {
             std::cerr << "faults: no safeguard is named " << off.getValue() << '\n';
--- a/tests/fleet/client.cpp
+++ b/tests/fleet/client.cpp
@@ -100,11 +100,11 @@
 void checked_callers::forge(std::size_t which, std::size_t node)
 {
     state::request request;
-    request.what = state::operation::attach;
+    request.op = state::operation::attach;
     request.generation = orders[which].generation;
     request.generation.sequence += 1;
     request.generation.owner = {100 + node};
-    request.generation.uptime = fleet->nodes[node].settings.self.uptime;
+    request.generation.incarnation_number = fleet->nodes[node].settings.self.incarnation_number;
     request.upstream_hint = {500};
     if (state::caller_handle const caller = fleet->send(node, std::move(request)))
     {
@@ -165,7 +165,7 @@
     if (each.kind == order_kind::reserved_draft && !each.generation)
     {
         state::request reservation;
-        reservation.what = state::operation::reserve;
+        reservation.op = state::operation::reserve;
         return post(which, std::move(reservation));
     }
     state::request request = run_request(each);
@@ -181,7 +181,7 @@
 {
     order& each = orders[which];
     state::request request;
-    request.what = state::operation::attach;
+    request.op = state::operation::attach;
     request.streamed = each.streamed();
     request.generation = each.generation;
     // Some client libraries keep the whole event id, some only identity and index.
--- a/tests/fleet/fake_links.cpp
+++ b/tests/fleet/fake_links.cpp
@@ -215,7 +215,7 @@
         {
             if (nodes[i].callers.erase(relay->first) != 0)
             {
-                to_node(i, caller_gone{relay->first});
+                to_node(i, caller_disconnected{relay->first});
             }
         }
         relay = relays_.erase(relay);
--- a/tests/fleet/request_fleet.cpp
+++ b/tests/fleet/request_fleet.cpp
@@ -126,7 +126,7 @@
 void request_fleet::hang_up(std::size_t node, state::caller_handle caller)
 {
     nodes[node].callers.erase(caller);
-    to_node(node, caller_gone{caller});
+    to_node(node, caller_disconnected{caller});
 }
 
 duration request_fleet::delay()
@@ -255,7 +255,7 @@
         for (state::member const& each : seen.view.members)
         {
             bool const dead = each.id == node.settings.self.id &&
-                              each.uptime == node.settings.self.uptime &&
+                              each.incarnation_number == node.settings.self.incarnation_number &&
                               each.health == state::member_health::dead;
             node.view.presumed_dead_at = dead ? loop.now() : node.view.presumed_dead_at;
         }
--- a/tests/fleet/request_fleet.hpp
+++ b/tests/fleet/request_fleet.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <plumdale/coordination/identity.hpp>
+#include <plumdale/coordination/identity_signer.hpp>
 #include <plumdale/coordination/least_in_flight.hpp>
 #include <plumdale/coordination/request_shard.hpp>
 
@@ -164,7 +164,7 @@
     request_fleet(shape const& form, std::uint64_t seed, caller_side& callers)
         : random{seed}, form_{form}, callers_{callers}
     {
-        customer.id = state::named<state::customer_id>("frescura");
+        customer.id = state::id_from_name<state::customer_id>("frescura");
         customer.name = "frescura";
         nodes.resize(form.nodes);
         engines.resize(form.engines);
@@ -216,7 +216,7 @@
     std::vector<fake_engine> engines;
     std::vector<engine_run> runs;
     state::customer customer;
-    state::model_id model = state::named<state::model_id>("lists");
+    state::model_id model = state::id_from_name<state::model_id>("lists");
     wire_faults wire;
     std::optional<std::size_t> cut_zone;
     bool views_frozen = false; ///< The platform's list does not change any more.
--- a/tests/platform/forward_scene.cpp
+++ b/tests/platform/forward_fixture.cpp
@@ -1,4 +1,4 @@
-#include "forward_scene.hpp"
+#include "forward_fixture.hpp"
 
 #include <plumdale/protocol/endpoint_text.hpp>
 
@@ -31,7 +31,7 @@
     R"("limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000},)"
     R"("tenants":[{"name":"customer","apiKeys":["key"]}]})";
 
-protocol::forward_settings scene_settings()
+protocol::forward_settings fixture_settings()
 {
     protocol::forward_settings settings;
     settings.name = "vm";
@@ -49,9 +49,10 @@
 
 } // namespace
 
-// -- script_connection ----------------------------------------------------------------------------
+// -- scripted_connection
+// ----------------------------------------------------------------------------
 
-void script_connection::read()
+void scripted_connection::read()
 {
     socket_.async_read_some(
         net::buffer(buffer_),
@@ -66,49 +67,51 @@
         });
 }
 
-void script_connection::send(std::string_view bytes)
+void scripted_connection::send(std::string_view bytes)
 {
     boost::system::error_code ignored;
     net::write(socket_, net::buffer(bytes), ignored);
 }
 
-void script_connection::close()
+void scripted_connection::close()
 {
     boost::system::error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-void script_connection::reset()
+void scripted_connection::reset()
 {
     boost::system::error_code ignored;
     socket_.set_option(net::socket_base::linger{true, 0}, ignored);
     socket_.close(ignored);
 }
 
-// -- script_upstream ------------------------------------------------------------------------------
+// -- scripted_upstream
+// ------------------------------------------------------------------------------
 
-script_upstream::script_upstream(net::io_context& context, std::string name, std::string zone)
+scripted_upstream::scripted_upstream(net::io_context& context, std::string name, std::string zone)
     : name_{std::move(name)}, zone_{std::move(zone)},
       acceptor_{context, tcp::endpoint{net::ip::address_v4::loopback(), 0}}
 {
     accept();
 }
 
-void script_upstream::accept()
+void scripted_upstream::accept()
 {
     acceptor_.async_accept(
         [this](boost::system::error_code error, tcp::socket socket)
         {
             if (!error)
             {
-                connections.push_back(std::make_shared<script_connection>(std::move(socket)));
+                connections.push_back(std::make_shared<scripted_connection>(std::move(socket)));
                 connections.back()->read();
                 accept();
             }
         });
 }
 
-state::service_member script_upstream::listing(std::string service, std::uint64_t revision) const
+state::service_member scripted_upstream::make_member(std::string service,
+                                                     std::uint64_t revision) const
 {
     state::service_member member;
     member.name = name_;
@@ -120,10 +123,10 @@
     return member;
 }
 
-std::vector<std::shared_ptr<script_connection>>
-script_upstream::connections_with(std::string_view text) const
+std::vector<std::shared_ptr<scripted_connection>>
+scripted_upstream::connections_with(std::string_view text) const
 {
-    std::vector<std::shared_ptr<script_connection>> found;
+    std::vector<std::shared_ptr<scripted_connection>> found;
     for (auto const& each : connections)
     {
         if (each->received.find(text) != std::string::npos)
@@ -134,26 +137,28 @@
     return found;
 }
 
-// -- forward_scene --------------------------------------------------------------------------------
+// -- forward_fixture
+// --------------------------------------------------------------------------------
 
-forward_scene::forward_scene(int engines)
-    : settings{scene_settings()}, log{null_descriptor(), "vm"}, core{context, settings, words, log},
-      callers_{context, tcp::endpoint{net::ip::address_v4::loopback(), 0}}
+forward_fixture::forward_fixture(int engines)
+    : settings{fixture_settings()}, log{null_descriptor(), "vm"}, core{context, settings, dialect,
+                                                                       log},
+      caller_acceptor_{context, tcp::endpoint{net::ip::address_v4::loopback(), 0}}
 {
     std::vector<state::service_member> members;
     constexpr int plain = 2;
     for (int i = 0; i < plain + engines; ++i)
     {
         upstreams.push_back(
-            std::make_unique<script_upstream>(context, "i-" + std::to_string(i), "a"));
-        members.push_back(upstreams.back()->listing(i < plain ? "plain" : "engine", 1));
+            std::make_unique<scripted_upstream>(context, "i-" + std::to_string(i), "a"));
+        members.push_back(upstreams.back()->make_member(i < plain ? "plain" : "engine", 1));
     }
-    core.take_configuration(std::string{configuration}, "test");
-    core.take_list(members, {}, 1, "test");
+    core.apply_configuration(std::string{configuration}, "test");
+    core.apply_list(members, {}, 1, "test");
     accept();
 }
 
-forward_scene::~forward_scene()
+forward_fixture::~forward_fixture()
 {
     for (auto const& channel : channels_)
     {
@@ -163,9 +168,9 @@
     context.poll();
 }
 
-void forward_scene::accept()
+void forward_fixture::accept()
 {
-    callers_.async_accept(
+    caller_acceptor_.async_accept(
         [this](boost::system::error_code error, tcp::socket socket)
         {
             if (error)
@@ -176,12 +181,12 @@
                 std::move(socket),
                 [this]
                 {
-                    transport::channel_terms terms;
-                    terms.closing = core.closing_since != state::never;
-                    return terms;
+                    transport::channel_options options;
+                    options.closing = core.closing_since != state::never;
+                    return options;
                 },
                 [this](std::shared_ptr<transport::caller_channel> const& channel,
-                       transport::whole_call call)
+                       transport::received_call call)
                 { return transport::start_call(core, channel, std::move(call)); },
                 [](transport::caller_channel&) {}));
             channels_.back()->start();
@@ -189,13 +194,13 @@
         });
 }
 
-std::shared_ptr<script_caller> forward_scene::call(std::string_view path, std::string_view id,
-                                                   std::string_view more_fields,
-                                                   std::string_view body)
+std::shared_ptr<scripted_caller> forward_fixture::call(std::string_view path, std::string_view id,
+                                                       std::string_view more_fields,
+                                                       std::string_view body)
 {
     tcp::socket socket{context};
-    socket.connect(callers_.local_endpoint());
-    auto const caller = std::make_shared<script_caller>(std::move(socket));
+    socket.connect(caller_acceptor_.local_endpoint());
+    auto const caller = std::make_shared<scripted_caller>(std::move(socket));
     std::string text = "POST " + std::string{path} + " HTTP/1.1\r\nHost: a.example\r\n";
     text += "Plumdale-Request-Id: " + std::string{id} + "\r\nPlumdale-Key: key\r\n";
     text += std::string{more_fields};
@@ -205,7 +210,7 @@
     return caller;
 }
 
-void forward_scene::run_until(std::function<bool()> const& condition)
+void forward_fixture::run_until(std::function<bool()> const& condition)
 {
     auto const limit = std::chrono::steady_clock::now() + std::chrono::seconds{10};
     while (!condition())
@@ -216,7 +221,7 @@
     }
 }
 
-std::size_t forward_scene::sends(std::string_view text) const
+std::size_t forward_fixture::request_count(std::string_view text) const
 {
     std::size_t count = 0;
     for (auto const& upstream : upstreams)
@@ -226,9 +231,9 @@
     return count;
 }
 
-script_upstream& forward_scene::upstream_of(std::string_view text)
+scripted_upstream& forward_fixture::upstream_of(std::string_view text)
 {
-    run_until([this, text] { return sends(text) > 0; });
+    run_until([this, text] { return request_count(text) > 0; });
     for (auto const& upstream : upstreams)
     {
         if (!upstream->connections_with(text).empty())
@@ -239,7 +244,7 @@
     throw std::logic_error{"no upstream"};
 }
 
-std::shared_ptr<script_connection> forward_scene::sent(std::string_view text)
+std::shared_ptr<scripted_connection> forward_fixture::upstream_connection(std::string_view text)
 {
     return upstream_of(text).connections_with(text).front();
 }
--- a/tests/platform/forward_scene.hpp
+++ b/tests/platform/forward_fixture.hpp
@@ -20,10 +20,10 @@
 {
 
 /// \brief A connection of a scripted upstream; collects what it is sent.
-class script_connection : public std::enable_shared_from_this<script_connection>
+class scripted_connection : public std::enable_shared_from_this<scripted_connection>
 {
 public:
-    explicit script_connection(transport::tcp::socket socket) : socket_{std::move(socket)} {}
+    explicit scripted_connection(transport::tcp::socket socket) : socket_{std::move(socket)} {}
 
     void read();
     void send(std::string_view bytes);
@@ -41,17 +41,18 @@
 };
 
 /// \brief A listening upstream; the test plays its answers.
-class script_upstream
+class scripted_upstream
 {
 public:
-    script_upstream(transport::net::io_context& context, std::string name, std::string zone);
+    scripted_upstream(transport::net::io_context& context, std::string name, std::string zone);
 
-    [[nodiscard]] state::service_member listing(std::string service, std::uint64_t revision) const;
+    [[nodiscard]] state::service_member make_member(std::string service,
+                                                    std::uint64_t revision) const;
     /// \brief Connections whose requests hold `text`.
-    [[nodiscard]] std::vector<std::shared_ptr<script_connection>>
+    [[nodiscard]] std::vector<std::shared_ptr<scripted_connection>>
     connections_with(std::string_view text) const;
 
-    std::vector<std::shared_ptr<script_connection>> connections;
+    std::vector<std::shared_ptr<scripted_connection>> connections;
 
 private:
     void accept();
@@ -62,38 +63,38 @@
 };
 
 /// \brief A caller's connection.
-using script_caller = script_connection;
+using scripted_caller = scripted_connection;
 
 /// \brief The entry VM under test with two upstreams of a plain service and some of an engine's.
-class forward_scene
+class forward_fixture
 {
 public:
-    explicit forward_scene(int engines = 3);
-    ~forward_scene();
+    explicit forward_fixture(int engines = 3);
+    ~forward_fixture();
 
     /// \brief Sends a call on a new connection.
-    std::shared_ptr<script_caller> call(std::string_view path, std::string_view id,
-                                        std::string_view more_fields = {},
-                                        std::string_view body = {});
+    std::shared_ptr<scripted_caller> call(std::string_view path, std::string_view id,
+                                          std::string_view more_fields = {},
+                                          std::string_view body = {});
     /// \brief Runs the loop until `condition` holds; fails after ten seconds.
     void run_until(std::function<bool()> const& condition);
     /// \brief Returns the only connection of any upstream whose request holds `text`.
-    std::shared_ptr<script_connection> sent(std::string_view text);
+    std::shared_ptr<scripted_connection> upstream_connection(std::string_view text);
     /// \brief Returns the upstream that has a connection whose request holds `text`.
-    script_upstream& upstream_of(std::string_view text);
-    [[nodiscard]] std::size_t sends(std::string_view text) const;
+    scripted_upstream& upstream_of(std::string_view text);
+    [[nodiscard]] std::size_t request_count(std::string_view text) const;
 
     transport::net::io_context context;
     protocol::forward_settings settings;
-    platform::platform_dialect words;
+    platform::platform_dialect dialect;
     transport::decision_log log;
     transport::forward_core core;
-    std::vector<std::unique_ptr<script_upstream>> upstreams;
+    std::vector<std::unique_ptr<scripted_upstream>> upstreams;
 
 private:
     void accept();
 
-    transport::tcp::acceptor callers_;
+    transport::tcp::acceptor caller_acceptor_;
     std::vector<std::shared_ptr<transport::caller_channel>> channels_;
 };
 
--- a/tests/platform/test_configuration_exchange.cpp
+++ b/tests/platform/test_configuration_exchange.cpp
@@ -1,4 +1,4 @@
-#include "forward_scene.hpp"
+#include "forward_fixture.hpp"
 #include "transport/configuration_exchange.hpp"
 
 #include <plumdale/protocol/fleet_codec.hpp>
@@ -18,9 +18,9 @@
 namespace
 {
 
-constexpr std::string_view newer = R"({"version":4,"routes":[],"services":[]})";
+constexpr std::string_view newer_configuration = R"({"version":4,"routes":[],"services":[]})";
 
-std::string offer_of(std::string_view text, std::uint64_t digest, std::string_view key)
+std::string encode_offer(std::string_view text, std::uint64_t digest, std::string_view key)
 {
     coordination::configuration_offer offer;
     offer.version = 4;
@@ -35,27 +35,27 @@
 // different configurations of one number, and no later exchange would show it.
 TEST_CASE("a configuration that isn't the published one is not taken", "[configuration_exchange]")
 {
-    forward_scene scene;
+    forward_fixture fixture;
     transport::configuration_exchange exchange{
-        scene.core,
-        {[] { return std::vector<transport::offer_peer>{}; },
+        fixture.core,
+        {[] { return std::vector<transport::broadcast_peer>{}; },
          [](std::string const& /*datagram*/, state::endpoint /*to*/) {},
          [](std::function<void()> const& /*otherwise*/) {
          }}};
-    std::string_view const key = scene.settings.fleet_key;
-    std::uint64_t const digest = protocol::text_digest(newer);
-    std::string damaged{newer};
+    std::string_view const key = fixture.settings.fleet_key;
+    std::uint64_t const digest = protocol::text_digest(newer_configuration);
+    std::string damaged{newer_configuration};
     damaged.replace(damaged.find("services"), 8, "servicez");
-    std::string const wrong = offer_of(damaged, digest, key);
-    exchange.take_offer(wrong, {0x7f000001, 1});
-    CHECK(scene.core.version() == 3);
-    std::string const right = offer_of(newer, digest, key);
-    exchange.take_offer(right, {0x7f000001, 1});
-    CHECK(scene.core.version() == 4);
+    std::string const wrong = encode_offer(damaged, digest, key);
+    exchange.receive_offer(wrong, {0x7f000001, 1});
+    CHECK(fixture.core.version() == 3);
+    std::string const right = encode_offer(newer_configuration, digest, key);
+    exchange.receive_offer(right, {0x7f000001, 1});
+    CHECK(fixture.core.version() == 4);
     // The sender of the wrong one is asked, and not there.
     for (int i = 0; i < 10; ++i)
     {
-        scene.context.restart();
-        scene.context.run_one_for(std::chrono::milliseconds{20});
+        fixture.context.restart();
+        fixture.context.run_one_for(std::chrono::milliseconds{20});
     }
 }
--- a/tests/platform/test_decision_lines.cpp
+++ b/tests/platform/test_decision_log.cpp
@@ -1,5 +1,5 @@
-#include "transport/change_lines.hpp"
 #include "transport/decision_log.hpp"
+#include "transport/directory_change_log.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -39,9 +39,9 @@
         return ends_[1];
     }
 
-    std::string read(std::size_t most = 1UL << 20U)
+    std::string read(std::size_t max_bytes = 1UL << 20U)
     {
-        std::string text(most, '\0');
+        std::string text(max_bytes, '\0');
         ssize_t const bytes = ::read(ends_[0], text.data(), text.size());
         text.resize(bytes > 0 ? static_cast<std::size_t>(bytes) : 0);
         return text;
@@ -51,7 +51,7 @@
     std::array<int, 2> ends_{};
 };
 
-std::size_t lines_of(std::string const& text)
+std::size_t line_count(std::string const& text)
 {
     return static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n'));
 }
@@ -85,7 +85,7 @@
     }
     // What stands in the pipe when the process is gone.
     read += pipe.read();
-    REQUIRE(lines_of(read) > 10);
+    REQUIRE(line_count(read) > 10);
     CHECK(read.back() == '\n');
 }
 
@@ -95,7 +95,7 @@
 {
     line_pipe pipe;
     decision_log log{pipe.writer(), "vm"};
-    change_lines changes{log};
+    directory_change_log changes{log};
     state::time_point now{10s};
     std::string read;
     for (std::uint64_t change = 0; change < 120; ++change)
@@ -109,7 +109,7 @@
     changes.flush(120, now + 1s);
     log.flush();
     read += pipe.read();
-    CHECK(lines_of(read) <= 10);
+    CHECK(line_count(read) <= 10);
     for (std::uint64_t change = 0; change < 120; ++change)
     {
         INFO("change " << change);
@@ -123,7 +123,7 @@
 {
     line_pipe pipe;
     decision_log log{pipe.writer(), "vm"};
-    change_lines changes{log};
+    directory_change_log changes{log};
     changes.add(coordination::directory_change::removed, upstream(7), "store");
     changes.flush(1, state::time_point{10s});
     log.flush();
@@ -138,7 +138,7 @@
 {
     line_pipe pipe;
     decision_log log{pipe.writer(), "vm"};
-    change_lines changes{log};
+    directory_change_log changes{log};
     for (std::uint64_t change = 0; change < 11'000; ++change)
     {
         changes.add(coordination::directory_change::listed, upstream(change), "store");
--- a/tests/platform/test_dialect.cpp
+++ b/tests/platform/test_dialect.cpp
@@ -31,7 +31,7 @@
     return head;
 }
 
-bool has(std::string const& head, std::string_view line)
+bool has_line(std::string const& head, std::string_view line)
 {
     return head.find("\r\n" + std::string{line} + "\r\n") != std::string::npos;
 }
@@ -40,13 +40,13 @@
 
 TEST_CASE("a caller's head is decoded once", "[dialect]")
 {
-    protocol::call_terms const terms = platform_dialect{}.read_call(call_head());
-    CHECK(terms.id == "9c41");
-    CHECK(terms.key == "secret");
-    CHECK(terms.time_left == 39s);
-    CHECK(terms.prompt_tokens == 1'460);
-    CHECK(terms.output_limit == 80);
-    CHECK(terms.output_hint == 70);
+    protocol::call_headers const headers = platform_dialect{}.read_call(call_head());
+    CHECK(headers.id == "9c41");
+    CHECK(headers.key == "secret");
+    CHECK(headers.time_left == 39s);
+    CHECK(headers.prompt_tokens == 1'460);
+    CHECK(headers.output_limit == 80);
+    CHECK(headers.output_hint == 70);
 }
 
 TEST_CASE("malformed figures in a caller's head read as missing", "[dialect]")
@@ -55,28 +55,28 @@
     {
         protocol::message_head head;
         head.fields = {{"Plumdale-Request-Deadline-Ms", text}, {"Plumdale-Token-Usage", text}};
-        protocol::call_terms const terms = platform_dialect{}.read_call(head);
-        CHECK_FALSE(terms.time_left);
-        CHECK(terms.prompt_tokens == 0);
+        protocol::call_headers const headers = platform_dialect{}.read_call(head);
+        CHECK_FALSE(headers.time_left);
+        CHECK(headers.prompt_tokens == 0);
     }
 }
 
 TEST_CASE("the head passed on has the system's fields and not the caller's", "[dialect]")
 {
-    protocol::onward_terms terms;
-    terms.time_left = 1'500ms;
-    terms.member = "i-7";
-    terms.customer = "huka";
-    terms.priority = 3;
-    std::string const head = platform_dialect{}.onward_head(call_head(), terms, 3);
+    protocol::system_headers headers;
+    headers.time_left = 1'500ms;
+    headers.member = "i-7";
+    headers.customer = "huka";
+    headers.priority = 3;
+    std::string const head = platform_dialect{}.forwarded_head(call_head(), headers, 3);
     CHECK(head.starts_with("POST /lists/2f?x=1 HTTP/1.1\r\n"));
-    CHECK(has(head, "Plumdale-Request-Id: 9c41"));
-    CHECK(has(head, "Plumdale-Request-Deadline-Ms: 1500"));
-    CHECK(has(head, "Plumdale-Expect-Instance: i-7"));
-    CHECK(has(head, "Plumdale-Tenant: huka"));
-    CHECK(has(head, "Plumdale-Request-Priority: 3"));
-    CHECK(has(head, "Content-Length: 3"));
-    CHECK(has(head, "X-Kept: 2"));
+    CHECK(has_line(head, "Plumdale-Request-Id: 9c41"));
+    CHECK(has_line(head, "Plumdale-Request-Deadline-Ms: 1500"));
+    CHECK(has_line(head, "Plumdale-Expect-Instance: i-7"));
+    CHECK(has_line(head, "Plumdale-Tenant: huka"));
+    CHECK(has_line(head, "Plumdale-Request-Priority: 3"));
+    CHECK(has_line(head, "Content-Length: 3"));
+    CHECK(has_line(head, "X-Kept: 2"));
     CHECK(head.find("secret") == std::string::npos);
     CHECK(head.find("X-Local") == std::string::npos);
     CHECK(head.find("39000") == std::string::npos);
@@ -94,27 +94,28 @@
         INFO(name);
         protocol::message_head head = call_head();
         head.fields.push_back({name, "forged"});
-        protocol::onward_terms terms;
-        terms.time_left = 1s;
-        terms.member = "i-7";
-        CHECK(platform_dialect{}.onward_head(head, terms, 0).find("forged") == std::string::npos);
+        protocol::system_headers headers;
+        headers.time_left = 1s;
+        headers.member = "i-7";
+        CHECK(platform_dialect{}.forwarded_head(head, headers, 0).find("forged") ==
+              std::string::npos);
     }
 }
 
 TEST_CASE("a resumed generation names its memory and its last event", "[dialect]")
 {
-    protocol::onward_terms terms;
-    terms.time_left = 1s;
-    terms.member = "i-8";
-    terms.resumed = protocol::continuation{{0x0a000001, 80}, "h-9", 41};
-    terms.backup = state::endpoint{0x0a000002, 81};
+    protocol::system_headers headers;
+    headers.time_left = 1s;
+    headers.member = "i-8";
+    headers.resumed = protocol::resume_point{{0x0a000001, 80}, "h-9", 41};
+    headers.backup = state::endpoint{0x0a000002, 81};
     protocol::message_head head = call_head();
     head.fields.push_back({"Last-Event-Id", "7"});
-    std::string const text = platform_dialect{}.onward_head(head, terms, 0);
-    CHECK(has(text, "Kv-From: 10.0.0.1:80/h-9"));
-    CHECK(has(text, "Last-Event-Id: 41"));
+    std::string const text = platform_dialect{}.forwarded_head(head, headers, 0);
+    CHECK(has_line(text, "Kv-From: 10.0.0.1:80/h-9"));
+    CHECK(has_line(text, "Last-Event-Id: 41"));
     CHECK(text.find("Last-Event-Id: 7") == std::string::npos);
-    CHECK(has(text, "Plumdale-Kv-Backup: 10.0.0.2:81"));
+    CHECK(has_line(text, "Plumdale-Kv-Backup: 10.0.0.2:81"));
 }
 
 TEST_CASE("a limit of requests that can't be read is none", "[dialect]")
@@ -141,16 +142,16 @@
     head.fields = {{"plumdale-request-id", "9c41"},    {"Plumdale-Response-Seal", "x"},
                    {"Keep-Alive", "timeout=5, max=9"}, {"Connection", "Close"},
                    {"Content-Encoding", "gzip"},       {"Plumdale-Cold-Ms", "700"}};
-    protocol::answer_terms const terms = platform_dialect{}.read_answer(head);
-    CHECK(terms.id == "9c41");
-    CHECK(terms.sealed);
-    CHECK(terms.misdirected);
-    CHECK(terms.encoded);
-    CHECK(terms.closes);
-    CHECK(terms.keep_alive == 5s);
-    CHECK(terms.cold_for == 700ms);
-    CHECK_FALSE(terms.request_limit);
-    CHECK_FALSE(terms.not_run);
+    protocol::answer_headers const headers = platform_dialect{}.read_answer(head);
+    CHECK(headers.id == "9c41");
+    CHECK(headers.is_signed);
+    CHECK(headers.misdirected);
+    CHECK(headers.encoded);
+    CHECK(headers.closes);
+    CHECK(headers.keep_alive == 5s);
+    CHECK(headers.cold_for == 700ms);
+    CHECK_FALSE(headers.request_limit);
+    CHECK_FALSE(headers.not_run);
 }
 
 TEST_CASE("changes of the store are decoded", "[dialect]")
@@ -216,18 +217,18 @@
 
 TEST_CASE("malformed bodies fail and say so", "[dialect]")
 {
-    platform_dialect const words;
+    platform_dialect const dialect;
     for (char const* const body : {"", "[", "7", "{\"a\":", "[1]"})
     {
-        CHECK_FALSE(words.decode_configuration(body));
-        CHECK_FALSE(words.read_changes(body));
-        CHECK_FALSE(words.read_copy_answer(body));
-        CHECK_FALSE(words.read_report(body));
+        CHECK_FALSE(dialect.decode_configuration(body));
+        CHECK_FALSE(dialect.read_changes(body));
+        CHECK_FALSE(dialect.read_copy_answer(body));
+        CHECK_FALSE(dialect.read_report(body));
     }
-    CHECK_FALSE(words.decode_configuration("{}"));
-    CHECK_FALSE(words.read_copy_answer("{}"));
-    CHECK(words.read_report(R"({"leaves_ms":1500})").value().leaves_in == 1'500ms);
-    CHECK_FALSE(words.read_report("{}").value().leaves_in);
-    CHECK(words.read_report(R"({"born":1784177076285})").value().started.value == 1784177076285);
-    CHECK(words.read_report(R"({"born":"now"})").value().started.value == 0);
+    CHECK_FALSE(dialect.decode_configuration("{}"));
+    CHECK_FALSE(dialect.read_copy_answer("{}"));
+    CHECK(dialect.read_report(R"({"leaves_ms":1500})").value().leaves_in == 1'500ms);
+    CHECK_FALSE(dialect.read_report("{}").value().leaves_in);
+    CHECK(dialect.read_report(R"({"born":1784177076285})").value().started.value == 1784177076285);
+    CHECK(dialect.read_report(R"({"born":"now"})").value().started.value == 0);
 }
--- a/tests/platform/test_operations.cpp
+++ b/tests/platform/test_operations.cpp
@@ -1,4 +1,4 @@
-#include "forward_scene.hpp"
+#include "forward_fixture.hpp"
 #include "transport/operations_page.hpp"
 
 #include <boost/json/parse.hpp>
@@ -12,17 +12,17 @@
 namespace
 {
 
-constexpr std::string_view seal = "Plumdale-Response-Seal: seal\r\n";
+constexpr std::string_view signature_field = "Plumdale-Response-Seal: seal\r\n";
 
-boost::json::value page_of(forward_scene const& scene)
+boost::json::value page_of(forward_fixture const& fixture)
 {
-    return boost::json::parse(transport::status_page(scene.core));
+    return boost::json::parse(transport::status_page(fixture.core));
 }
 
-std::uint64_t outcomes(forward_scene const& scene, char const* outcome)
+std::uint64_t outcomes(forward_fixture const& fixture, char const* outcome)
 {
     std::uint64_t sum = 0;
-    boost::json::value const page = page_of(scene);
+    boost::json::value const page = page_of(fixture);
     for (boost::json::value const& row : page.at("outcomes").as_array())
     {
         sum += row.at(outcome).to_number<std::uint64_t>();
@@ -34,11 +34,11 @@
 
 TEST_CASE("the status page shows this VM, its routes and its upstreams", "[operations]")
 {
-    forward_scene scene;
-    boost::json::value const page = page_of(scene);
+    forward_fixture fixture;
+    boost::json::value const page = page_of(fixture);
     CHECK(page.at("entry").at("configuration").to_number<int>() == 3);
     CHECK(page.at("entry").at("live_entry_vms").to_number<int>() == 1);
-    CHECK(page.at("upstreams").as_array().size() == scene.upstreams.size());
+    CHECK(page.at("upstreams").as_array().size() == fixture.upstreams.size());
     CHECK(page.at("upstreams").as_array().front().at("takes_work").as_bool());
     CHECK_FALSE(page.at("routes").as_array().empty());
 }
@@ -46,9 +46,9 @@
 // A zone is evacuated and one VM still sends there: which one shows on the pages of all.
 TEST_CASE("the status page shows the orders in force and what they keep from work", "[operations]")
 {
-    forward_scene scene;
-    scene.core.take_evacuations({8, {{state::named<state::zone_id>("a"), 5}}}, "test");
-    boost::json::value const page = page_of(scene);
+    forward_fixture fixture;
+    fixture.core.apply_evacuations({8, {{state::id_from_name<state::zone_id>("a"), 5}}}, "test");
+    boost::json::value const page = page_of(fixture);
     auto const& orders = page.at("entry").at("evacuations").as_array();
     REQUIRE(orders.size() == 1);
     CHECK(orders.front().at("zone").as_string() == "a");
@@ -61,28 +61,28 @@
 // An operator's page goes into tickets and chats; a customer's key must not go with it.
 TEST_CASE("the status page holds no keys", "[operations]")
 {
-    forward_scene scene;
-    for (state::customer_keys const& customer : scene.core.routing->configuration().customers)
+    forward_fixture fixture;
+    for (state::customer_keys const& customer : fixture.core.routing->configuration().customers)
     {
         for (std::string const& key : customer.keys)
         {
-            CHECK(transport::status_page(scene.core).find(key) == std::string::npos);
+            CHECK(transport::status_page(fixture.core).find(key) == std::string::npos);
         }
     }
 }
 
 TEST_CASE("calls are counted by how they ended for their callers", "[operations]")
 {
-    forward_scene scene;
-    auto const served = scene.call("/event/1", "id-1");
-    scene.sent("id-1")->send(answer_text(200, "id-1", "yes", seal));
-    scene.run_until([&] { return served->received.ends_with("yes"); });
-    CHECK(outcomes(scene, "on_time") == 1);
+    forward_fixture fixture;
+    auto const served = fixture.call("/event/1", "id-1");
+    fixture.upstream_connection("id-1")->send(answer_text(200, "id-1", "yes", signature_field));
+    fixture.run_until([&] { return served->received.ends_with("yes"); });
+    CHECK(outcomes(fixture, "on_time") == 1);
 
     // The upstream may have run it: that is a failure for the caller, not a refusal.
-    auto const doubtful = scene.call("/event/2", "id-2");
-    scene.sent("id-2")->close();
-    scene.run_until([&] { return doubtful->received.find("502") != std::string::npos; });
-    CHECK(outcomes(scene, "failed") == 1);
-    CHECK(outcomes(scene, "refused") == 0);
+    auto const doubtful = fixture.call("/event/2", "id-2");
+    fixture.upstream_connection("id-2")->close();
+    fixture.run_until([&] { return doubtful->received.find("502") != std::string::npos; });
+    CHECK(outcomes(fixture, "failed") == 1);
+    CHECK(outcomes(fixture, "refused") == 0);
 }
--- a/tests/platform/test_ending_requests.cpp
+++ b/tests/platform/test_request_quarantine.cpp
@@ -1,4 +1,4 @@
-#include "forward_scene.hpp"
+#include "forward_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -11,33 +11,34 @@
 namespace
 {
 
-constexpr std::string_view sized = "Plumdale-Token-Usage: 2800,900\r\n";
+constexpr std::string_view token_usage_field = "Plumdale-Token-Usage: 2800,900\r\n";
 constexpr int attempts = 8;
 /// \brief The fleet may lose so many upstreams to one request before all VMs refuse it.
-constexpr std::size_t most_ended = 3;
+constexpr std::size_t max_ended_upstreams = 3;
 
-bool is_refused(script_caller const& caller)
+bool is_refused(scripted_caller const& caller)
 {
     return caller.received.starts_with("HTTP/1.1 503 ");
 }
 
-bool has_answer(script_caller const& caller)
+bool has_answer(scripted_caller const& caller)
 {
     return caller.received.find("\r\n\r\n") != std::string::npos;
 }
 
 /// \brief Sends the same request again and again; each upstream that runs it ends.
 /// \returns how many upstreams ended under it
-std::size_t ended_by(forward_scene& scene, std::string_view path, std::string_view fields)
+std::size_t count_ended_upstreams(forward_fixture& fixture, std::string_view path,
+                                  std::string_view fields)
 {
-    std::set<script_upstream*> ended;
+    std::set<scripted_upstream*> ended;
     for (int i = 0; i < attempts; ++i)
     {
         std::string const id = "id-" + std::to_string(i);
-        auto const caller = scene.call(path, id, fields, "the same body");
-        scene.run_until([&]
-                        { return has_answer(*caller) || caller->ended || scene.sends(id) > 0; });
-        for (auto const& upstream : scene.upstreams)
+        auto const caller = fixture.call(path, id, fields, "the same body");
+        fixture.run_until(
+            [&] { return has_answer(*caller) || caller->ended || fixture.request_count(id) > 0; });
+        for (auto const& upstream : fixture.upstreams)
         {
             for (auto const& connection : upstream->connections_with(id))
             {
@@ -45,7 +46,7 @@
                 ended.insert(upstream.get());
             }
         }
-        scene.run_until([&] { return has_answer(*caller) || caller->ended; });
+        fixture.run_until([&] { return has_answer(*caller) || caller->ended; });
     }
     return ended.size();
 }
@@ -56,10 +57,10 @@
 // one upstream after the other.
 TEST_CASE("a stream that ends each upstream that runs it is refused before a fourth", "[ending]")
 {
-    forward_scene scene{6};
-    CHECK(ended_by(scene, "/draft/1", sized) <= most_ended);
-    auto const again = scene.call("/draft/1", "id-again", sized, "the same body");
-    scene.run_until([&] { return has_answer(*again); });
+    forward_fixture fixture{6};
+    CHECK(count_ended_upstreams(fixture, "/draft/1", token_usage_field) <= max_ended_upstreams);
+    auto const again = fixture.call("/draft/1", "id-again", token_usage_field, "the same body");
+    fixture.run_until([&] { return has_answer(*again); });
     CHECK(is_refused(*again));
-    CHECK(scene.sends("id-again") == 0);
+    CHECK(fixture.request_count("id-again") == 0);
 }
--- a/tests/platform/test_stated_limits.cpp
+++ b/tests/platform/test_stated_limits.cpp
@@ -1,4 +1,4 @@
-#include "forward_scene.hpp"
+#include "forward_fixture.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -11,24 +11,24 @@
 namespace
 {
 
-constexpr std::string_view seal = "Plumdale-Response-Seal: seal\r\n";
-constexpr std::string_view limited = "Plumdale-Response-Seal: seal\r\nServer-Limit: 1\r\n";
+constexpr std::string_view signature_field = "Plumdale-Response-Seal: seal\r\n";
+constexpr std::string_view limit_fields = "Plumdale-Response-Seal: seal\r\nServer-Limit: 1\r\n";
 
 /// \brief Answers all calls that are waiting at the first upstream with a limit, at the second
 /// without.
-void answer_all(forward_scene& scene, std::string const& id)
+void answer_all(forward_fixture& fixture, std::string const& id)
 {
     for (std::size_t i = 0; i < 2; ++i)
     {
-        for (auto const& each : scene.upstreams[i]->connections_with(id))
+        for (auto const& each : fixture.upstreams[i]->connections_with(id))
         {
-            each->send(answer_text(200, id, "yes", i == 0 ? limited : seal));
+            each->send(answer_text(200, id, "yes", i == 0 ? limit_fields : signature_field));
         }
     }
 }
 
 /// \brief Returns how many calls arrived at an upstream, on whatever connections.
-std::size_t arrivals(script_upstream const& upstream)
+std::size_t received_count(scripted_upstream const& upstream)
 {
     constexpr std::string_view mark = "Plumdale-Request-Id: ";
     std::size_t count = 0;
@@ -49,19 +49,19 @@
 // requests came in one.
 TEST_CASE("an upstream that states a limit gets no more than that", "[limits]")
 {
-    forward_scene scene;
+    forward_fixture fixture;
     constexpr int calls = 60;
     auto const began = std::chrono::steady_clock::now();
     for (int i = 0; i < calls; ++i)
     {
         std::string const id = "id-" + std::to_string(100 + i);
-        auto const caller = scene.call("/event/" + id, id, {}, {});
-        scene.run_until([&] { return scene.sends(id) > 0; });
-        answer_all(scene, id);
-        scene.run_until([&] { return caller->received.ends_with("yes"); });
+        auto const caller = fixture.call("/event/" + id, id, {}, {});
+        fixture.run_until([&] { return fixture.request_count(id) > 0; });
+        answer_all(fixture, id);
+        fixture.run_until([&] { return caller->received.ends_with("yes"); });
     }
     // What was sent before it was stated, one at once, and one for each second that the test took.
     std::chrono::duration<double> const took = std::chrono::steady_clock::now() - began;
-    CHECK(static_cast<double>(arrivals(*scene.upstreams[0])) <= 3.0 + took.count());
-    CHECK(arrivals(*scene.upstreams[0]) + arrivals(*scene.upstreams[1]) == calls);
+    CHECK(static_cast<double>(received_count(*fixture.upstreams[0])) <= 3.0 + took.count());
+    CHECK(received_count(*fixture.upstreams[0]) + received_count(*fixture.upstreams[1]) == calls);
 }
--- a/tests/platform/test_store_entries.cpp
+++ b/tests/platform/test_store_entries.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-std::string encoded(std::string_view bytes)
+std::string encode_base64(std::string_view bytes)
 {
     namespace base64 = boost::beast::detail::base64;
     std::string text(base64::encoded_size(bytes.size()), '\0');
@@ -26,7 +26,7 @@
     return text;
 }
 
-json::object good_entry()
+json::object valid_entry()
 {
     return {{"service", "engine"},
             {"address", "10.0.0.9:80"},
@@ -42,7 +42,7 @@
 json::object item(std::string_view key, std::string_view value, std::uint64_t revision)
 {
     return {{"key", json::string_view{key.data(), key.size()}},
-            {"value", encoded(value)},
+            {"value", encode_base64(value)},
             {"revision", revision}};
 }
 
@@ -55,9 +55,9 @@
 }
 
 // Reads a page with the entry between two good ones; the good ones have to hold.
-protocol::store_page beside_good_ones(std::string_view value)
+protocol::store_page read_between_valid_entries(std::string_view value)
 {
-    std::string const good = json::serialize(good_entry());
+    std::string const good = json::serialize(valid_entry());
     protocol::store_page page =
         page_of({item("servers/i-1", good, 5), item("servers/i-2", value, 6),
                  item("servers/i-3", good, 7)});
@@ -70,7 +70,7 @@
 void check_unusable(std::string_view value, std::string_view reason)
 {
     INFO(value);
-    protocol::store_page const page = beside_good_ones(value);
+    protocol::store_page const page = read_between_valid_entries(value);
     CHECK(page.members.size() == 2);
     REQUIRE(page.unusable.size() == 1);
     CHECK(page.unusable[0].name == "i-2");
@@ -82,7 +82,7 @@
 
 TEST_CASE("an upstream's entry is read with its start", "[store_entries]")
 {
-    protocol::store_page const page = beside_good_ones(json::serialize(good_entry()));
+    protocol::store_page const page = read_between_valid_entries(json::serialize(valid_entry()));
     REQUIRE(page.members.size() == 3);
     CHECK(page.unusable.empty());
     CHECK(page.members[1].started == state::incarnation{1'784'177'076'285});
@@ -95,10 +95,10 @@
 // upstream, the entries beside it hold, and the log can say which field it was.
 TEST_CASE("an entry with a field missing or of another type names no upstream", "[store_entries]")
 {
-    for (auto const& field : good_entry())
+    for (auto const& field : valid_entry())
     {
         std::string const name = field.key();
-        json::object missing = good_entry();
+        json::object missing = valid_entry();
         missing.erase(name);
         if (name != "born")
         {
@@ -108,7 +108,7 @@
              {json::value(nullptr), json::value(true), json::value(json::array{1}),
               json::value(json::object{}), json::value(-3), json::value(1.5), json::value("")})
         {
-            json::object changed = good_entry();
+            json::object changed = valid_entry();
             changed[name] = other;
             check_unusable(json::serialize(changed), name);
         }
@@ -124,7 +124,7 @@
         {"address", "host:80"},   {"address", "10.0.0.9:99999"}};
     for (auto const& [name, value] : cases)
     {
-        json::object changed = good_entry();
+        json::object changed = valid_entry();
         changed[name] = value;
         check_unusable(json::serialize(changed), name);
     }
@@ -137,16 +137,16 @@
 TEST_CASE("a platform whose upstreams don't tell their start is served as before",
           "[store_entries]")
 {
-    json::object without = good_entry();
+    json::object without = valid_entry();
     without.erase("born");
-    protocol::store_page const page = beside_good_ones(json::serialize(without));
+    protocol::store_page const page = read_between_valid_entries(json::serialize(without));
     REQUIRE(page.members.size() == 3);
     CHECK(page.members[1].started.value == 0);
 }
 
 TEST_CASE("odd keys name no upstream, and a removal is not taken for damage", "[store_entries]")
 {
-    std::string const good = json::serialize(good_entry());
+    std::string const good = json::serialize(valid_entry());
     protocol::store_page const page =
         page_of({item("servers/", good, 5), item("servers/a/b", good, 6),
                  item("servers/" + std::string(300, 'x'), good, 7),
@@ -163,7 +163,7 @@
 TEST_CASE("seeded damage to pages of the store never yields half an upstream", "[store_entries]")
 {
     std::minstd_rand random{7};
-    std::string const good = json::serialize(good_entry());
+    std::string const good = json::serialize(valid_entry());
     for (int round = 0; round < 2'000; ++round)
     {
         std::string value = good;
@@ -180,7 +180,7 @@
             value.insert(at, value.substr(random() % value.size(), 5));
             break;
         }
-        for (state::service_member const& each : beside_good_ones(value).members)
+        for (state::service_member const& each : read_between_valid_entries(value).members)
         {
             CHECK_FALSE(each.service.empty());
             CHECK_FALSE(each.zone.empty());
