--- a/tests/platform/test_store_reader.cpp
+++ b/tests/platform/test_store_reader.cpp
@@ -1,4 +1,4 @@
-#include "forward_scene.hpp"
+#include "forward_fixture.hpp"
 #include "transport/store_reader.hpp"
 
 #include <catch2/catch.hpp>
@@ -16,7 +16,7 @@
 {
 
 constexpr std::string_view not_published = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
-constexpr std::string_view may_lag = "allowStale=1";
+constexpr std::string_view allow_stale = "allowStale=1";
 
 int null_descriptor()
 {
@@ -39,7 +39,7 @@
 {
     explicit starting_vm(bool is_seed)
         : store{context, "store", "a"}, log{null_descriptor(), "vm"},
-          settings{settings_for(is_seed)}, core{context, settings, words, log}, reader{core}
+          settings{settings_for(is_seed)}, core{context, settings, dialect, log}, reader{core}
     {
         reader.start();
     }
@@ -49,7 +49,7 @@
         protocol::forward_settings chosen;
         chosen.zone = "a";
         chosen.datagrams = {0x7f000001, 7200};
-        chosen.platform = store.listing("store", 1).address;
+        chosen.platform = store.make_member("store", 1).address;
         chosen.seeds = {{0x7f000002, 7200}};
         if (is_seed)
         {
@@ -74,7 +74,7 @@
     {
         for (auto const& each : store.connections)
         {
-            std::size_t& answered = answers[each.get()];
+            std::size_t& answered = answer_counts[each.get()];
             if (count(each->received, "GET ") > answered)
             {
                 ++answered;
@@ -84,7 +84,7 @@
         }
     }
 
-    [[nodiscard]] std::size_t asked() const
+    [[nodiscard]] std::size_t request_count() const
     {
         std::size_t requests = 0;
         for (auto const& each : store.connections)
@@ -95,8 +95,8 @@
     }
 
     transport::net::io_context context;
-    platform::platform_dialect words;
-    script_upstream store;
+    platform::platform_dialect dialect;
+    scripted_upstream store;
     transport::decision_log log;
     protocol::forward_settings settings;
     transport::forward_core core;
@@ -106,7 +106,7 @@
     {
         return std::string{not_published};
     };
-    std::map<script_connection*, std::size_t> answers;
+    std::map<scripted_connection*, std::size_t> answer_counts;
 };
 
 std::string found(std::string_view body)
@@ -116,7 +116,7 @@
 }
 
 // The store's answers to reads: a configuration and `orders`, as of `revision`.
-std::string operators_page(std::string_view orders, std::uint64_t revision)
+std::string operator_entries_page(std::string_view orders, std::uint64_t revision)
 {
     // {"version":3}
     return found(R"({"items":[{"key":"op/config","value":"eyJ2ZXJzaW9uIjozfQ==","revision":2})" +
@@ -125,9 +125,9 @@
 }
 
 constexpr std::string_view east_at_5 = R"(,{"key":"op/evacuate/east","value":"","revision":5})";
-constexpr auto east = state::named<state::zone_id>("east");
+constexpr auto east = state::id_from_name<state::zone_id>("east");
 
-bool asks(std::string_view request, std::string_view what)
+bool contains(std::string_view request, std::string_view what)
 {
     return request.find(what) != std::string_view::npos;
 }
@@ -143,8 +143,8 @@
     {
         starting_vm vm{is_seed};
         vm.run(100ms);
-        REQUIRE(vm.asked() == 1);
-        CHECK(count(vm.store.connections.front()->received, may_lag) == 1);
+        REQUIRE(vm.request_count() == 1);
+        CHECK(count(vm.store.connections.front()->received, allow_stale) == 1);
     }
 }
 
@@ -154,12 +154,12 @@
 {
     starting_vm seed{true};
     seed.run(1'000ms);
-    CHECK(seed.asked() >= 3);
+    CHECK(seed.request_count() >= 3);
     // What may lag would tell of the publication seconds later.
-    CHECK(count(seed.store.connections.front()->received, may_lag) == 1);
+    CHECK(count(seed.store.connections.front()->received, allow_stale) == 1);
     starting_vm other{false};
     other.run(900ms);
-    CHECK(other.asked() == 1);
+    CHECK(other.request_count() == 1);
 }
 
 // An order that was given before this VM started, and is told by no watch.
@@ -168,14 +168,14 @@
     starting_vm vm{true};
     vm.reply = [](std::string_view request)
     {
-        return asks(request, "prefix=op") ? operators_page(east_at_5, 9)
-                                          : std::string{not_published};
+        return contains(request, "prefix=op") ? operator_entries_page(east_at_5, 9)
+                                              : std::string{not_published};
     };
     vm.run(200ms);
     CHECK(vm.core.directory.evacuations().covers(east));
     // What may lag is as of its newest part: a peer that knows of revision 6 knows better.
     CHECK(vm.core.directory.evacuations().known().as_of == 5);
-    vm.core.take_evacuations({6, {}}, "test");
+    vm.core.apply_evacuations({6, {}}, "test");
     CHECK_FALSE(vm.core.directory.evacuations().covers(east));
 }
 
@@ -187,13 +187,14 @@
     int reads = 0;
     vm.reply = [&reads](std::string_view request)
     {
-        if (asks(request, "prefix=op"))
+        if (contains(request, "prefix=op"))
         {
             // The first two: what may lag, and what is current.
             ++reads;
-            return operators_page(reads <= 2 ? std::string_view{} : east_at_5, 3U + 10U * reads);
+            return operator_entries_page(reads <= 2 ? std::string_view{} : east_at_5,
+                                         3U + 10U * reads);
         }
-        if (asks(request, "prefix=servers"))
+        if (contains(request, "prefix=servers"))
         {
             return found(R"({"items":[],"hasMore":false,"atRev":4})");
         }
@@ -208,19 +209,19 @@
           "[store_reader][evacuation]")
 {
     starting_vm vm{true};
-    int told = 0;
-    vm.core.evacuations_read = [&told]
+    int report_count = 0;
+    vm.core.on_evacuations_read = [&report_count]
     {
-        ++told;
+        ++report_count;
     };
     int watches = 0;
     vm.reply = [&watches](std::string_view request)
     {
-        if (asks(request, "prefix=op"))
+        if (contains(request, "prefix=op"))
         {
-            return operators_page({}, 3);
+            return operator_entries_page({}, 3);
         }
-        if (asks(request, "prefix=servers"))
+        if (contains(request, "prefix=servers"))
         {
             return found(R"({"items":[],"hasMore":false,"atRev":4})");
         }
@@ -231,7 +232,7 @@
             R"({"events":[{"key":"op/evacuate/east","revision":8,"deleted":true}],"atRev":8})";
         return found(watches == 1 ? given : watches == 2 ? back : R"({"events":[],"atRev":8})");
     };
-    auto const until = [&vm](auto const& condition)
+    auto const run_until = [&vm](auto const& condition)
     {
         for (int round = 0; round < 100 && !condition(); ++round)
         {
@@ -239,10 +240,10 @@
         }
         CHECK(condition());
     };
-    until([&] { return vm.core.directory.evacuations().covers(east); });
-    CHECK(told == 1);
-    until([&] { return !vm.core.directory.evacuations().covers(east); });
-    CHECK(told == 2);
+    run_until([&] { return vm.core.directory.evacuations().covers(east); });
+    CHECK(report_count == 1);
+    run_until([&] { return !vm.core.directory.evacuations().covers(east); });
+    CHECK(report_count == 2);
     CHECK(vm.core.directory.evacuations().known().as_of == 8);
 }
 
@@ -264,15 +265,16 @@
     };
     vm.reply = [&item](std::string_view request)
     {
-        if (asks(request, "prefix=op"))
+        if (contains(request, "prefix=op"))
         {
-            return operators_page({}, 3);
+            return operator_entries_page({}, 3);
         }
-        if (asks(request, "prefix=servers"))
+        if (contains(request, "prefix=servers"))
         {
             // One came after what may lag was true.
-            std::string const items =
-                asks(request, may_lag) ? item("i-1", 1) : item("i-1", 1) + "," + item("i-2", 4);
+            std::string const items = contains(request, allow_stale)
+                                          ? item("i-1", 1)
+                                          : item("i-1", 1) + "," + item("i-2", 4);
             return found(R"({"items":[)" + items + R"(],"hasMore":false,"atRev":4})");
         }
         return found(R"({"events":[],"atRev":4})");
@@ -282,10 +284,10 @@
         vm.run(20ms);
     }
     REQUIRE(vm.core.directory.entries().size() == 2);
-    REQUIRE(vm.core.untold.size() == 1);
-    CHECK(vm.core.untold.front().name == "i-2");
-    REQUIRE(vm.core.untold_of_start.size() == 1);
-    CHECK(vm.core.untold_of_start.front().name == "i-1");
+    REQUIRE(vm.core.unreported.size() == 1);
+    CHECK(vm.core.unreported.front().name == "i-2");
+    REQUIRE(vm.core.unreported_at_start.size() == 1);
+    CHECK(vm.core.unreported_at_start.front().name == "i-1");
 }
 
 namespace
@@ -298,7 +300,7 @@
     "c2xvdHMiOjI0LCJzdGF0ZSI6InJlYWR5IiwiY29sZExlZnRNcyI6MCwic2VxdWVuY2UiOjR9";
 
 /// \brief A store that can come back from a copy of a former state.
-struct copied_store
+struct restorable_store
 {
     std::map<std::string, int> items;
     std::vector<std::pair<std::string, int>> removed;
@@ -317,7 +319,7 @@
     }
 
     /// \brief Everything is as in `copy`, and one era later.
-    void come_back(copied_store const& copy)
+    void restore_from(restorable_store const& copy)
     {
         int const next = era + 1;
         *this = copy;
@@ -326,7 +328,7 @@
 
     [[nodiscard]] std::string reply(std::string_view request) const
     {
-        bool const watches = asks(request, "kv-watch");
+        bool const watches = contains(request, "kv-watch");
         int after = 0;
         if (watches)
         {
@@ -340,7 +342,7 @@
         std::string rows;
         for (auto const& [key, at] : items)
         {
-            std::string_view const wanted = asks(request, "prefix=op") ? "op/" : "servers/";
+            std::string_view const wanted = contains(request, "prefix=op") ? "op/" : "servers/";
             if (at > after && (watches || key.starts_with(wanted)))
             {
                 rows += rows.empty() ? "" : ",";
@@ -389,11 +391,11 @@
         {
             return content.reply(request);
         };
-        until([this] { return is_listed("i-2") && core.reads_store; });
+        run_until([this] { return is_listed("i-2") && core.is_active_reader; });
     }
 
     template <class Condition>
-    void until(Condition const& condition)
+    void run_until(Condition const& condition)
     {
         for (int round = 0; round < 500 && !condition(); ++round)
         {
@@ -408,7 +410,7 @@
         return latest && core.directory.find(*latest)->info.listed;
     }
 
-    copied_store content;
+    restorable_store content;
 };
 
 } // namespace
@@ -419,22 +421,22 @@
           "[store_reader][store_era]")
 {
     reading_vm vm;
-    copied_store const copy = vm.content;
+    restorable_store const copy = vm.content;
     for (int i = 0; i < 20; ++i)
     {
         vm.content.write("servers/i-1");
     }
     vm.content.write("servers/i-3");
-    vm.until([&] { return vm.is_listed("i-3"); });
-    vm.content.come_back(copy);
+    vm.run_until([&] { return vm.is_listed("i-3"); });
+    vm.content.restore_from(copy);
     vm.content.write("servers/i-4");
     vm.content.write("servers/i-1");
-    vm.until([&] { return vm.is_listed("i-4"); });
+    vm.run_until([&] { return vm.is_listed("i-4"); });
     // One that has not written again yet may still do so.
     CHECK(vm.is_listed("i-3"));
     vm.content.remove("servers/i-1");
-    vm.until([&] { return !vm.is_listed("i-1"); });
-    vm.until([&] { return !vm.is_listed("i-3"); });
+    vm.run_until([&] { return !vm.is_listed("i-1"); });
+    vm.run_until([&] { return !vm.is_listed("i-3"); });
     CHECK(vm.is_listed("i-2"));
 }
 
@@ -444,16 +446,16 @@
           "[store_reader][store_era]")
 {
     reading_vm vm;
-    copied_store const copy = vm.content;
+    restorable_store const copy = vm.content;
     vm.content.remove("servers/i-2");
-    vm.until([&] { return !vm.is_listed("i-2"); });
-    vm.content.come_back(copy);
+    vm.run_until([&] { return !vm.is_listed("i-2"); });
+    vm.content.restore_from(copy);
     vm.content.write("servers/i-5");
-    vm.until([&] { return vm.is_listed("i-5"); });
+    vm.run_until([&] { return vm.is_listed("i-5"); });
     CHECK_FALSE(vm.is_listed("i-2"));
     // It lives, and writes its entry again.
     vm.content.write("servers/i-2");
-    vm.until([&] { return vm.is_listed("i-2"); });
+    vm.run_until([&] { return vm.is_listed("i-2"); });
 }
 
 // Guards against requests to an evacuated zone between the store's return and the operator's
@@ -462,23 +464,23 @@
           "[store_reader][store_era][evacuation]")
 {
     reading_vm vm;
-    copied_store const copy = vm.content;
+    restorable_store const copy = vm.content;
     vm.content.write("op/evacuate/east");
-    vm.until([&] { return vm.core.directory.evacuations().covers(east); });
-    vm.content.come_back(copy);
+    vm.run_until([&] { return vm.core.directory.evacuations().covers(east); });
+    vm.content.restore_from(copy);
     vm.content.write("servers/i-6");
-    vm.until([&] { return vm.is_listed("i-6"); });
+    vm.run_until([&] { return vm.is_listed("i-6"); });
     CHECK(vm.core.directory.evacuations().covers(east));
     SECTION("written again")
     {
         vm.content.write("op/evacuate/east");
-        vm.run(transport::store_reader::rewriting + 500ms);
+        vm.run(transport::store_reader::rewrite_time + 500ms);
         CHECK(vm.core.directory.evacuations().covers(east));
         vm.content.remove("op/evacuate/east");
-        vm.until([&] { return !vm.core.directory.evacuations().covers(east); });
+        vm.run_until([&] { return !vm.core.directory.evacuations().covers(east); });
     }
     SECTION("not written again")
     {
-        vm.until([&] { return !vm.core.directory.evacuations().covers(east); });
+        vm.run_until([&] { return !vm.core.directory.evacuations().covers(east); });
     }
 }
--- a/tests/protocol/test_caller_codec.cpp
+++ b/tests/protocol/test_caller_codec.cpp
@@ -17,9 +17,9 @@
 constexpr state::time_point start{std::chrono::hours{1}};
 constexpr std::string_view prompt_body = R"({"model":"lists","prompt":"milk?"})";
 
-caller_message completion(std::string_view body)
+http_request_view completion(std::string_view body)
 {
-    caller_message message;
+    http_request_view message;
     message.method = "POST";
     message.target = "/v1/completions";
     message.authorization = "Bearer key";
@@ -27,7 +27,7 @@
     return message;
 }
 
-error_kind refusal(caller_message const& message)
+error_kind rejected_kind(http_request_view const& message)
 {
     auto const decoded = decode_request(message, start);
     REQUIRE_FALSE(decoded);
@@ -43,7 +43,7 @@
 
 TEST_CASE("a question is repeatable and a draft is not", "[caller_codec]")
 {
-    caller_message message = completion(prompt_body);
+    http_request_view message = completion(prompt_body);
     auto const question = decode_request(message, start);
     REQUIRE(question);
     CHECK(question.value().kind == state::work_kind::question);
@@ -72,7 +72,7 @@
 
 TEST_CASE("a deadline counts from the arrival", "[caller_codec]")
 {
-    caller_message message = completion(prompt_body);
+    http_request_view message = completion(prompt_body);
     message.deadline_ms = "250";
     CHECK(decode_request(message, start).value().deadline ==
           start + std::chrono::milliseconds{250});
@@ -82,23 +82,23 @@
 {
     std::string const target = "/v1/generations/" + identity();
     std::string const last = identity() + "@00000000000000ff/41";
-    caller_message message;
+    http_request_view message;
     message.method = "GET";
     message.target = target;
     message.authorization = "Bearer key";
     message.last_event_id = last;
     auto const decoded = decode_request(message, start);
     REQUIRE(decoded);
-    CHECK(decoded.value().what == state::operation::attach);
+    CHECK(decoded.value().op == state::operation::attach);
     CHECK(decoded.value().next_index == 42);
     CHECK(decoded.value().upstream_hint == state::upstream_id{255});
 }
 
 TEST_CASE("the same key of two customers is two keys", "[caller_codec]")
 {
-    caller_message message = completion(prompt_body);
+    http_request_view message = completion(prompt_body);
     message.idempotency_key = "order-1";
-    state::key_id const one = decode_request(message, start).value().key;
+    state::idempotency_key_id const one = decode_request(message, start).value().key;
     message.authorization = "Bearer another";
     CHECK(decode_request(message, start).value().key != one);
 }
@@ -122,7 +122,7 @@
     for (std::string_view const body : bodies)
     {
         CAPTURE(body);
-        CHECK(refusal(completion(body)) == error_kind::invalid_request);
+        CHECK(rejected_kind(completion(body)) == error_kind::invalid_request);
     }
 }
 
@@ -130,30 +130,30 @@
 {
     struct row
     {
-        std::string_view caller_message::*field;
+        std::string_view http_request_view::*field;
         std::string_view value;
         error_kind kind;
     };
     std::array const rows{
-        row{&caller_message::authorization, "", error_kind::unauthenticated},
-        row{&caller_message::authorization, "Basic key", error_kind::unauthenticated},
-        row{&caller_message::generation, "g-1-2", error_kind::unknown_generation},
-        row{&caller_message::attempt, "0", error_kind::invalid_request},
-        row{&caller_message::attempt, "first", error_kind::invalid_request},
-        row{&caller_message::repeatable, "maybe", error_kind::invalid_request},
-        row{&caller_message::kind, "poem", error_kind::invalid_request},
-        row{&caller_message::deadline_ms, "-5", error_kind::invalid_request},
-        row{&caller_message::deadline_ms, "99999999999", error_kind::invalid_request},
-        row{&caller_message::method, "PUT", error_kind::invalid_request},
-        row{&caller_message::target, "/v2/completions", error_kind::invalid_request},
-        row{&caller_message::target, "/v1/generations/g-zz", error_kind::unknown_generation},
-        row{&caller_message::target, "/v1/services/", error_kind::unknown_model}};
+        row{&http_request_view::authorization, "", error_kind::unauthenticated},
+        row{&http_request_view::authorization, "Basic key", error_kind::unauthenticated},
+        row{&http_request_view::generation, "g-1-2", error_kind::unknown_generation},
+        row{&http_request_view::attempt, "0", error_kind::invalid_request},
+        row{&http_request_view::attempt, "first", error_kind::invalid_request},
+        row{&http_request_view::repeatable, "maybe", error_kind::invalid_request},
+        row{&http_request_view::kind, "poem", error_kind::invalid_request},
+        row{&http_request_view::deadline_ms, "-5", error_kind::invalid_request},
+        row{&http_request_view::deadline_ms, "99999999999", error_kind::invalid_request},
+        row{&http_request_view::method, "PUT", error_kind::invalid_request},
+        row{&http_request_view::target, "/v2/completions", error_kind::invalid_request},
+        row{&http_request_view::target, "/v1/generations/g-zz", error_kind::unknown_generation},
+        row{&http_request_view::target, "/v1/services/", error_kind::unknown_model}};
     for (row const& each : rows)
     {
         CAPTURE(each.value);
-        caller_message message = completion(prompt_body);
+        http_request_view message = completion(prompt_body);
         message.*each.field = each.value;
-        CHECK(refusal(message) == each.kind);
+        CHECK(rejected_kind(message) == each.kind);
     }
 }
 
@@ -187,7 +187,7 @@
         std::string const id = test::mutate(identity(), seed);
         std::string const last = test::mutate(identity() + "@00ff/41", seed);
         std::string const target = test::mutate("/v1/generations/" + identity(), seed);
-        caller_message message = completion(body);
+        http_request_view message = completion(body);
         auto const run = decode_request(message, start);
         CHECK((run || run.error().kind != error_kind::internal));
         message.generation = id;
--- a/tests/protocol/test_engine_codec.cpp
+++ b/tests/protocol/test_engine_codec.cpp
@@ -24,7 +24,7 @@
     return R"({"generation":")" + to_text(id) + R"(","index":5,"text":"milk"})";
 }
 
-std::vector<std::string> lines_of(event_splitter& splitter)
+std::vector<std::string> lines_of(event_data_splitter& splitter)
 {
     std::vector<std::string> lines;
     std::string line;
@@ -85,7 +85,7 @@
     std::vector<std::string> const whole{" {\"a\":1}", "{\"b\":2}"};
     for (std::size_t cut = 0; cut <= bytes.size(); ++cut)
     {
-        event_splitter splitter;
+        event_data_splitter splitter;
         REQUIRE(splitter.append(bytes.substr(0, cut)));
         std::vector<std::string> lines = lines_of(splitter);
         REQUIRE(splitter.append(bytes.substr(cut)));
@@ -101,11 +101,11 @@
 // splitter refuses at its limit and the exchange ends as invalid.
 TEST_CASE("a line without an end is refused at the limit", "[engine_codec]")
 {
-    event_splitter splitter;
+    event_data_splitter splitter;
     std::string const piece(4096, 'a');
     bool taken = true;
     std::size_t bytes = 0;
-    while (taken && bytes <= 2 * event_splitter::line_limit)
+    while (taken && bytes <= 2 * event_data_splitter::line_limit)
     {
         taken = splitter.append(piece);
         bytes += piece.size();
--- a/tests/protocol/test_fleet_codec.cpp
+++ b/tests/protocol/test_fleet_codec.cpp
@@ -32,37 +32,38 @@
     return member;
 }
 
-fleet_news news()
+fleet_update update()
 {
-    fleet_news news;
-    news.sender = state::node_id{1};
-    news.uptime = state::incarnation{2};
-    news.sequence = 3;
-    news.configuration = 4;
-    news.directory = 5;
-    news.platform_age_ms = 6;
-    news.whole = true;
-    news.loads = {{state::member_key{7}, 8, 9, 10, 11}};
-    news.members = {member()};
-    news.evacuations = {12, {{state::zone_id{13}, 11}}};
-    news.quarantine = 14;
-    news.asks_evidence = true;
-    news.limits = {{state::member_key{18}, 3.1, std::chrono::seconds{19}},
-                   {state::member_key{20}, std::nullopt, std::chrono::seconds{21}}};
-    news.evidence = {{state::request_digest{15}, state::member_key{16}, std::chrono::seconds{17}}};
-    return news;
+    fleet_update update;
+    update.sender = state::node_id{1};
+    update.incarnation_number = state::incarnation{2};
+    update.sequence = 3;
+    update.configuration = 4;
+    update.directory = 5;
+    update.platform_age_ms = 6;
+    update.whole = true;
+    update.loads = {{state::member_key{7}, 8, 9, 10, 11}};
+    update.members = {member()};
+    update.evacuations = {12, {{state::zone_id{13}, 11}}};
+    update.quarantine = 14;
+    update.requests_evidence = true;
+    update.limits = {{state::member_key{18}, 3.1, std::chrono::seconds{19}},
+                     {state::member_key{20}, std::nullopt, std::chrono::seconds{21}}};
+    update.evidence = {
+        {state::request_digest{15}, state::member_key{16}, std::chrono::seconds{17}}};
+    return update;
 }
 
 } // namespace
 
 TEST_CASE("news comes out as it went in", "[fleet_codec]")
 {
-    std::string const datagram = encode(news(), key);
-    auto const read = decode_fleet_news(datagram, key);
+    std::string const datagram = encode(update(), key);
+    auto const read = decode_fleet_update(datagram, key);
     REQUIRE(read);
     CHECK(read.value().sequence == 3);
     CHECK(read.value().whole);
-    CHECK(read.value().loads == news().loads);
+    CHECK(read.value().loads == update().loads);
     REQUIRE(read.value().members.size() == 1);
     CHECK(read.value().members[0].address == member().address);
     CHECK(read.value().members[0].started == member().started);
@@ -70,9 +71,9 @@
     CHECK(read.value().members[0].leaving);
     CHECK_FALSE(read.value().members[0].listed);
     CHECK(read.value().evacuations.as_of == 12);
-    CHECK(read.value().evacuations.in_force == news().evacuations.in_force);
+    CHECK(read.value().evacuations.in_force == update().evacuations.in_force);
     CHECK(read.value().quarantine == 14);
-    CHECK(read.value().asks_evidence);
+    CHECK(read.value().requests_evidence);
     REQUIRE(read.value().limits.size() == 2);
     CHECK(read.value().limits[0].member == state::member_key{18});
     CHECK(read.value().limits[0].per_second == 3.1);
@@ -86,22 +87,22 @@
 
 TEST_CASE("full news fits into a datagram", "[fleet_codec]")
 {
-    fleet_news full = news();
-    full.loads.assign(fleet_news::max_loads,
+    fleet_update full = update();
+    full.loads.assign(fleet_update::max_loads,
                       {state::member_key{0x123456789abcdef0}, 24, 30'000, 34'000, 9'000});
     state::service_member long_named = member();
     long_named.name = "i-0123456789abcdef";
     long_named.service = "a-service-with-a-long-name";
-    full.members.assign(fleet_news::max_members, long_named);
+    full.members.assign(fleet_update::max_members, long_named);
     CHECK(encode(full, key).size() < 1'400);
     full.members.clear();
     full.loads.clear();
-    full.evidence.assign(fleet_news::max_evidence,
+    full.evidence.assign(fleet_update::max_evidence,
                          {state::request_digest{0x123456789abcdef0},
                           state::member_key{0x123456789abcdef0}, std::chrono::minutes{10}});
     CHECK(encode(full, key).size() < 1'400);
-    full = news();
-    full.loads.assign(fleet_news::max_loads,
+    full = update();
+    full.loads.assign(fleet_update::max_loads,
                       {state::member_key{0x123456789abcdef0}, 24, 30'000, 34'000, 9'000});
     // Orders go along with rows of load alone.
     full.members.clear();
@@ -126,15 +127,15 @@
 
 TEST_CASE("what was made without the fleet key, or damaged, is refused", "[fleet_codec][seeds]")
 {
-    std::string const datagram = encode(news(), key);
-    CHECK_FALSE(decode_fleet_news(datagram, "another sixteen!"));
-    CHECK_FALSE(decode_fleet_news(std::string_view{}, key));
+    std::string const datagram = encode(update(), key);
+    CHECK_FALSE(decode_fleet_update(datagram, "another sixteen!"));
+    CHECK_FALSE(decode_fleet_update(std::string_view{}, key));
     for (std::uint32_t seed = 1; seed <= 2'000; ++seed)
     {
         std::string const damaged = plumdale::test::mutate(datagram, seed);
         if (damaged != datagram)
         {
-            CHECK_FALSE(decode_fleet_news(damaged, key));
+            CHECK_FALSE(decode_fleet_update(damaged, key));
         }
         // The directory has no MAC: it must refuse or read, and not fail otherwise.
         static_cast<void>(decode_directory_copy(damaged));
@@ -143,15 +144,15 @@
 
 TEST_CASE("digests come out as they went in, and nothing else does", "[fleet_codec]")
 {
-    part_digests digests{};
+    bucket_digests digests{};
     for (std::size_t i = 0; i < digests.size(); ++i)
     {
         digests[i] = state::mix(i, 1);
     }
     std::string const body = encode(digests);
-    auto const read = decode_part_digests(body);
+    auto const read = decode_bucket_digests(body);
     REQUIRE(read);
     CHECK(read.value() == digests);
-    CHECK_FALSE(decode_part_digests({}));
-    CHECK_FALSE(decode_part_digests(std::string_view{body}.substr(1)));
+    CHECK_FALSE(decode_bucket_digests({}));
+    CHECK_FALSE(decode_bucket_digests(std::string_view{body}.substr(1)));
 }
--- a/tests/protocol/test_forward_settings.cpp
+++ b/tests/protocol/test_forward_settings.cpp
@@ -20,7 +20,7 @@
            std::string{more} + "}";
 }
 
-bool complains_of(std::string const& text, std::string_view pointer)
+bool has_error_at(std::string const& text, std::string_view pointer)
 {
     std::vector<settings_error> errors;
     static_cast<void>(decode_forward_settings(text, errors));
@@ -55,10 +55,10 @@
 
 TEST_CASE("each wrong setting is named", "[forward_settings]")
 {
-    CHECK(complains_of(settings_with(R"(,"grace_s":"8")"), "/grace_s"));
-    CHECK(complains_of(settings_with(R"(,"grace_s":-1)"), "/grace_s"));
-    CHECK(complains_of(settings_with(R"(,"seeds":["nowhere"])"), "/seeds"));
-    CHECK(complains_of(settings_with(R"(,"grace":8)"), "/grace"));
-    CHECK(complains_of(settings_with(R"(,"load_news_bytes_per_s":0)"), "/load_news_bytes_per_s"));
-    CHECK(complains_of(R"({"mode":"forward"})", "/platform"));
+    CHECK(has_error_at(settings_with(R"(,"grace_s":"8")"), "/grace_s"));
+    CHECK(has_error_at(settings_with(R"(,"grace_s":-1)"), "/grace_s"));
+    CHECK(has_error_at(settings_with(R"(,"seeds":["nowhere"])"), "/seeds"));
+    CHECK(has_error_at(settings_with(R"(,"grace":8)"), "/grace"));
+    CHECK(has_error_at(settings_with(R"(,"load_news_bytes_per_s":0)"), "/load_news_bytes_per_s"));
+    CHECK(has_error_at(R"({"mode":"forward"})", "/platform"));
 }
--- a/tests/protocol/test_generation_text.cpp
+++ b/tests/protocol/test_generation_text.cpp
@@ -8,7 +8,7 @@
 TEST_CASE("identities and event ids come back from their text", "[generation_text]")
 {
     state::generation_id const id{{0xabcdU}, {42}, 7, {1, 2, 3, 0xff}};
-    CHECK(parse_generation(to_text(id)) == id);
+    CHECK(parse_generation_id(to_text(id)) == id);
     auto const parsed = parse_event_id(to_text(event_id{id, {9}, 12}));
     REQUIRE(parsed);
     CHECK(parsed->generation == id);
@@ -22,7 +22,7 @@
                              "g-11111111111111111-2-3-00112233445566778899aabbccddeeff"})
     {
         CAPTURE(text);
-        CHECK_FALSE(parse_generation(text));
+        CHECK_FALSE(parse_generation_id(text));
         CHECK_FALSE(parse_event_id(text));
     }
 }
--- a/tests/protocol/test_http_reader.cpp
+++ b/tests/protocol/test_http_reader.cpp
@@ -45,7 +45,7 @@
         CHECK(reader.head().method == "POST");
         CHECK(reader.head().target == "/a/b?c=d");
         CHECK(reader.take_body() == "hello");
-        CHECK(reader.rest() == "GET");
+        CHECK(reader.unconsumed() == "GET");
     }
 }
 
@@ -109,7 +109,7 @@
     http_reader reader = read("HTTP/1.1 200 OK\r\n\r\nabc", message_role::answer);
     CHECK(reader.framing() == body_framing::until_close);
     CHECK(reader.progress() == read_progress::body);
-    CHECK(reader.append_end() == read_progress::whole);
+    CHECK(reader.append_eof() == read_progress::whole);
     CHECK(reader.take_body() == "abc");
 }
 
@@ -117,7 +117,7 @@
 {
     http_reader reader =
         read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", message_role::answer);
-    CHECK(reader.append_end() == read_progress::body);
+    CHECK(reader.append_eof() == read_progress::body);
 }
 
 TEST_CASE("damaged messages neither crash nor grow", "[http_reader][seeds]")
@@ -130,7 +130,7 @@
         http_reader reader = read_in_pieces(damaged, 1 + seed % 17);
         if (reader.progress() != read_progress::malformed)
         {
-            CHECK(reader.rest().size() <= damaged.size());
+            CHECK(reader.unconsumed().size() <= damaged.size());
         }
     }
 }
--- a/tests/protocol/test_link_codec.cpp
+++ b/tests/protocol/test_link_codec.cpp
@@ -1,5 +1,5 @@
+#include <plumdale/protocol/link_authenticator.hpp>
 #include <plumdale/protocol/link_codec.hpp>
-#include <plumdale/protocol/link_seal.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -23,7 +23,7 @@
 state::request sample_request()
 {
     state::request request;
-    request.what = state::operation::attach;
+    request.op = state::operation::attach;
     request.kind = state::work_kind::draft;
     request.repeatable = true;
     request.streamed = false;
@@ -56,8 +56,8 @@
             {5,
              coordination::relay_refused{
                  {5}, state::error_kind::overloaded, std::chrono::seconds{2}, {}, 0}},
-            {6, protocol::caller_news::gone},
-            {7, protocol::caller_news::blocked},
+            {6, protocol::caller_event::disconnected},
+            {7, protocol::caller_event::blocked},
             {8, ref},
             {9, protocol::link_content{ref, "presets/peak", std::make_shared<std::string>("{}")}},
             {9, protocol::link_content{ref, "presets/peak", nullptr}}};
@@ -73,7 +73,7 @@
     auto const& got = std::get<state::request>(frame.value().body);
     auto const sent = sample_request();
     CHECK(frame.value().exchange == 1);
-    CHECK(got.what == sent.what);
+    CHECK(got.op == sent.op);
     CHECK(got.kind == sent.kind);
     CHECK(got.repeatable == sent.repeatable);
     CHECK(got.streamed == sent.streamed);
@@ -141,21 +141,21 @@
 
 TEST_CASE("a MAC fits one frame at one place of one link in one direction")
 {
-    using protocol::link_seal;
-    using direction = link_seal::direction;
+    using protocol::link_authenticator;
+    using direction = link_authenticator::direction;
     protocol::link_nonce const a{1};
     protocol::link_nonce const b{2};
-    link_seal sender{"0123456789abcdef", a, b, direction::from_opener};
-    auto const first = sender.next("frame");
-    auto const second = sender.next("frame");
-    CHECK_FALSE(protocol::same_tag(first, second));
-    link_seal same{"0123456789abcdef", a, b, direction::from_opener};
-    CHECK(protocol::same_tag(first, same.next("frame")));
-    CHECK_FALSE(protocol::same_tag(second, same.next("other")));
-    link_seal other_way{"0123456789abcdef", a, b, direction::from_accepter};
-    CHECK_FALSE(protocol::same_tag(first, other_way.next("frame")));
-    link_seal other_link{"0123456789abcdef", a, {3}, direction::from_opener};
-    CHECK_FALSE(protocol::same_tag(first, other_link.next("frame")));
-    link_seal other_key{"0123456789abcdeg", a, b, direction::from_opener};
-    CHECK_FALSE(protocol::same_tag(first, other_key.next("frame")));
+    link_authenticator sender{"0123456789abcdef", a, b, direction::from_initiator};
+    auto const first = sender.next_mac("frame");
+    auto const second = sender.next_mac("frame");
+    CHECK_FALSE(protocol::macs_equal(first, second));
+    link_authenticator same{"0123456789abcdef", a, b, direction::from_initiator};
+    CHECK(protocol::macs_equal(first, same.next_mac("frame")));
+    CHECK_FALSE(protocol::macs_equal(second, same.next_mac("other")));
+    link_authenticator other_way{"0123456789abcdef", a, b, direction::from_responder};
+    CHECK_FALSE(protocol::macs_equal(first, other_way.next_mac("frame")));
+    link_authenticator other_link{"0123456789abcdef", a, {3}, direction::from_initiator};
+    CHECK_FALSE(protocol::macs_equal(first, other_link.next_mac("frame")));
+    link_authenticator other_key{"0123456789abcdeg", a, b, direction::from_initiator};
+    CHECK_FALSE(protocol::macs_equal(first, other_key.next_mac("frame")));
 }
--- a/tests/protocol/test_peer_codec.cpp
+++ b/tests/protocol/test_peer_codec.cpp
@@ -20,7 +20,7 @@
 constexpr std::string_view key = "an example fleet key";
 constexpr std::size_t mac_size = 16;
 
-[[nodiscard]] state::member some_member(std::mt19937_64& random)
+[[nodiscard]] state::member random_member(std::mt19937_64& random)
 {
     return {{random() | 1U},
             {random()},
@@ -31,11 +31,11 @@
             {static_cast<std::uint32_t>(random()), static_cast<std::uint16_t>(random())}};
 }
 
-[[nodiscard]] peer_message some_message(std::mt19937_64& random, bool full)
+[[nodiscard]] peer_message random_message(std::mt19937_64& random, bool full)
 {
     peer_message message;
     message.kind = static_cast<peer_message_kind>(random() % 4);
-    message.sender = some_member(random);
+    message.sender = random_member(random);
     message.sequence = random();
     message.target = {random()};
     message.target_address = {static_cast<std::uint32_t>(random()), 7};
@@ -49,7 +49,7 @@
     };
     for (std::size_t i = length(peer_message::max_members); i > 0; --i)
     {
-        message.members.push_back(some_member(random));
+        message.members.push_back(random_member(random));
     }
     for (std::size_t i = length(peer_message::max_marks); i > 0; --i)
     {
@@ -67,7 +67,7 @@
 }
 
 /// \brief Puts a right MAC in front of any words, as a peer that holds the key but is faulty would.
-[[nodiscard]] std::string seal(std::string datagram)
+[[nodiscard]] std::string with_valid_mac(std::string datagram)
 {
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
     unsigned int length = 0;
@@ -85,7 +85,7 @@
     std::mt19937_64 random{1};
     for (int i = 0; i < 500; ++i)
     {
-        peer_message const message = some_message(random, i % 5 == 0);
+        peer_message const message = random_message(random, i % 5 == 0);
         std::string const datagram = encode(message, key);
         CHECK(datagram.size() <= peer_message::max_bytes);
         auto const read = decode_peer_message(datagram, key);
@@ -98,10 +98,10 @@
 TEST_CASE("a datagram by an accepted key is read", "[peer_codec]")
 {
     std::mt19937_64 random{2};
-    std::string const datagram = encode(some_message(random, false), "the key from before");
-    std::vector<std::string> const accepted{"another key", "the key from before"};
+    std::string const datagram = encode(random_message(random, false), "the key from before");
+    std::vector<std::string> const accepted_keys{"another key", "the key from before"};
     CHECK_FALSE(decode_peer_message(datagram, key).has_value());
-    CHECK(decode_peer_message(datagram, key, accepted).has_value());
+    CHECK(decode_peer_message(datagram, key, accepted_keys).has_value());
 }
 
 // A datagram changed on its way, cut short or made with another key. The receiver drops it, goes
@@ -111,7 +111,7 @@
     std::mt19937_64 random{2};
     for (int i = 0; i < 5'000; ++i)
     {
-        std::string datagram = encode(some_message(random, false), key);
+        std::string datagram = encode(random_message(random, false), key);
         std::string const before = datagram;
         if (random() % 4 == 0)
         {
@@ -134,7 +134,7 @@
     std::size_t refused = 0;
     for (int i = 0; i < 20'000; ++i)
     {
-        std::string datagram = encode(some_message(random, false), key);
+        std::string datagram = encode(random_message(random, false), key);
         for (std::uint64_t changes = 1 + random() % 4; changes > 0; --changes)
         {
             std::size_t const at = mac_size + random() % (datagram.size() - mac_size);
@@ -145,7 +145,7 @@
             std::size_t const words = (datagram.size() - mac_size) / 8;
             datagram.resize(mac_size + 8 * (1 + random() % words));
         }
-        auto const read = decode_peer_message(seal(datagram), key);
+        auto const read = decode_peer_message(with_valid_mac(datagram), key);
         refused += read.has_value() ? 0 : 1;
         if (read.has_value())
         {
--- a/tests/protocol/test_platform_codec.cpp
+++ b/tests/protocol/test_platform_codec.cpp
@@ -44,7 +44,7 @@
     REQUIRE(changes.value().events.size() == 3);
     auto const& change = std::get<coordination::switch_published>(changes.value().events[0]);
     CHECK(change.revision == 3);
-    CHECK(change.preset == state::named<state::preset_id>("peak"));
+    CHECK(change.preset == state::id_from_name<state::preset_id>("peak"));
     auto const& preset = std::get<coordination::preset_published>(changes.value().events[1]);
     CHECK(preset.content.max_batch == 12);
     REQUIRE(preset.content.assignments.size() == 1);
@@ -66,7 +66,7 @@
     REQUIRE(list);
     REQUIRE(list.value().upstreams.size() == 1);
     state::upstream const& upstream = list.value().upstreams[0];
-    CHECK(upstream.id == state::named<state::upstream_id>("127.0.0.1:9000"));
+    CHECK(upstream.id == state::id_from_name<state::upstream_id>("127.0.0.1:9000"));
     CHECK(upstream.leaving);
     CHECK_FALSE(upstream.fences_orders);
     REQUIRE(list.value().entry_vms.size() == 1);
--- a/tests/protocol/test_raw_event_splitter.cpp
+++ b/tests/protocol/test_raw_event_splitter.cpp
@@ -26,7 +26,7 @@
         }
         CHECK(joined == text);
         CHECK(last == 2);
-        CHECK(events.held() == 0);
+        CHECK(events.buffered_bytes() == 0);
     }
 }
 
@@ -38,7 +38,7 @@
     events.append("id: 7\ndata: a\n\nid: 8\nda");
     CHECK(events.next()->id == 7U);
     CHECK_FALSE(events.next());
-    CHECK(events.held() == 8);
+    CHECK(events.buffered_bytes() == 8);
 }
 
 TEST_CASE("events without a numeric id have none", "[raw_event_splitter]")
--- a/tests/protocol/test_settings.cpp
+++ b/tests/protocol/test_settings.cpp
@@ -27,7 +27,7 @@
     return errors;
 }
 
-bool complains_of(std::vector<settings_error> const& errors, std::string_view pointer)
+bool has_error_at(std::vector<settings_error> const& errors, std::string_view pointer)
 {
     return std::any_of(errors.begin(), errors.end(),
                        [pointer](settings_error const& error) { return error.pointer == pointer; });
@@ -41,7 +41,7 @@
     daemon_settings const settings = decode_settings(settings_with(R"(,"threads":3)"), errors);
     CHECK(errors.empty());
     CHECK(settings.node.shards == 3);
-    CHECK(settings.node.self.zone == state::named<state::zone_id>("heredia-a"));
+    CHECK(settings.node.self.zone == state::id_from_name<state::zone_id>("heredia-a"));
     CHECK(settings.node.self.datagrams.port == 7001);
 }
 
@@ -53,7 +53,7 @@
          {"/zone", "/callers", "/threads", "/platform", "/fleet_key", "/datagrams", "/streams"})
     {
         CAPTURE(pointer);
-        CHECK(complains_of(errors, pointer));
+        CHECK(has_error_at(errors, pointer));
     }
 }
 
--- a/tests/protocol/test_text_patch.cpp
+++ b/tests/protocol/test_text_patch.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr std::size_t bound = most_configuration_bytes;
+constexpr std::size_t bound = max_configuration_bytes;
 
 std::string configuration(std::uint64_t version, std::size_t routes)
 {
--- a/tests/state/test_error_kind.cpp
+++ b/tests/state/test_error_kind.cpp
@@ -8,7 +8,7 @@
 {
     for (error_answer const& row : error_table())
     {
-        CHECK(answer_named(row.name) == &row);
+        CHECK(find_answer(row.name) == &row);
         CHECK(&answer_for(row.kind) == &row);
         CHECK_FALSE(row.message.empty());
     }
--- a/tests/system/fleet.cpp
+++ b/tests/system/fleet.cpp
@@ -124,7 +124,8 @@
     place.program = std::make_unique<process>("plumdale-standins", args);
     place.address = place.program->line_after("listening");
     place.listed = place.address;
-    place.uptime = get(place.address, "/v1/load").at("uptime").to_number<std::uint64_t>();
+    place.incarnation_number =
+        get(place.address, "/v1/load").at("uptime").to_number<std::uint64_t>();
     if (shape.relays)
     {
         place.relay = std::make_unique<process>(
@@ -175,7 +176,7 @@
                                          {"zone", place.zone},
                                          {"model", "lists"},
                                          {"address", place.listed},
-                                         {"uptime", place.uptime},
+                                         {"uptime", place.incarnation_number},
                                          {"leaving", leaving.contains(place.address)},
                                          {"fences_orders", true}});
     }
@@ -242,8 +243,8 @@
     options.kind = kind;
     options.prompt =
         "request " + std::to_string(++count) + " [tokens=" + std::to_string(tokens) + "]";
-    options.idle = std::chrono::seconds{3};
-    options.patience = bound;
+    options.idle_timeout = std::chrono::seconds{3};
+    options.attach_timeout = bound;
     return options;
 }
 
--- a/tests/system/fleet.hpp
+++ b/tests/system/fleet.hpp
@@ -44,7 +44,7 @@
     std::string listed;  ///< What the platform lists: the relay's, if there is one.
     std::string relay_controls;
     std::string zone;
-    std::uint64_t uptime = 0;
+    std::uint64_t incarnation_number = 0;
 };
 
 struct entry_place
--- a/tests/system/test_engine_faults.cpp
+++ b/tests/system/test_engine_faults.cpp
@@ -38,7 +38,7 @@
 {
     fleet all{fleet_shape{}};
     auto options = all.caller({0}, "draft", 400);
-    options.patience = 2s;
+    options.attach_timeout = 2s;
     running_caller caller{options};
     std::size_t const engine = engine_in_mid_stream(all, caller);
     all.engine(engine).program->signal(SIGKILL);
@@ -60,7 +60,7 @@
     for (int i = 0; i < 6; ++i)
     {
         auto options = all.caller({static_cast<std::size_t>(i % 3)}, "question", 10);
-        options.idle = bound;
+        options.idle_timeout = bound;
         callers.emplace_back(std::move(options));
     }
     for (running_caller& caller : callers)
--- a/tests/system/test_entry_faults.cpp
+++ b/tests/system/test_entry_faults.cpp
@@ -32,7 +32,7 @@
 {
     fleet all{fleet_shape{}};
     auto options = all.caller({0, 1, 2}, "draft", 400);
-    options.idle = 1s;
+    options.idle_timeout = 1s;
     running_caller caller{options};
     REQUIRE(eventually([&] { return caller.tokens() >= 20; }));
     all.entry(0).program->signal(SIGSTOP);
@@ -75,7 +75,7 @@
     auto again = options;
     again.entries = {all.entry(1).address};
     again.attempt = 2;
-    again.patience = 1s;
+    again.attach_timeout = 1s;
     running_caller second{again};
     CHECK(fault_in(second.finish(), 200) == no_fault);
     caller_view const& before = first->finish();
--- a/tests/system/test_link_faults.cpp
+++ b/tests/system/test_link_faults.cpp
@@ -42,7 +42,7 @@
     fleet all{shape};
     control(all.engine(0).relay_controls, {{"refuse", true}, {"cut", true}});
     auto options = all.caller({0}, "draft", 10);
-    options.patience = std::chrono::seconds{1};
+    options.attach_timeout = std::chrono::seconds{1};
     running_caller caller{options};
     caller_view const& view = caller.finish();
     REQUIRE(view.failed);
--- a/tests/transport/loop.hpp
+++ b/tests/transport/loop.hpp
@@ -76,44 +76,44 @@
         socket_.close(ignored);
     }
 
-    [[nodiscard]] std::string const& got() const
+    [[nodiscard]] std::string const& received() const
     {
-        return seen_->got;
+        return read_state_->received;
     }
     [[nodiscard]] bool ended() const
     {
-        return seen_->ended;
+        return read_state_->ended;
     }
 
 private:
     // Outlives the peer: a read may have ended before the peer did, and be told after.
-    struct seen
+    struct read_state
     {
         std::array<char, 4096> bytes{};
-        std::string got;
+        std::string received;
         bool ended = false;
     };
 
     void read()
     {
-        socket_.async_read_some(
-            boost::asio::buffer(seen_->bytes),
-            [this, seen = std::weak_ptr{seen_}](boost::system::error_code error, std::size_t count)
-            {
-                if (auto const alive = seen.lock())
-                {
-                    alive->got.append(alive->bytes.data(), count);
-                    alive->ended = static_cast<bool>(error);
-                    if (!error)
-                    {
-                        read();
-                    }
-                }
-            });
+        socket_.async_read_some(boost::asio::buffer(read_state_->bytes),
+                                [this, read_state = std::weak_ptr{read_state_}](
+                                    boost::system::error_code error, std::size_t count)
+                                {
+                                    if (auto const alive = read_state.lock())
+                                    {
+                                        alive->received.append(alive->bytes.data(), count);
+                                        alive->ended = static_cast<bool>(error);
+                                        if (!error)
+                                        {
+                                            read();
+                                        }
+                                    }
+                                });
     }
 
     transport::tcp::socket socket_;
-    std::shared_ptr<seen> seen_ = std::make_shared<seen>();
+    std::shared_ptr<read_state> read_state_ = std::make_shared<read_state>();
 };
 
 } // namespace plumdale::tests
--- a/tests/transport/test_caller_input.cpp
+++ b/tests/transport/test_caller_input.cpp
@@ -16,9 +16,9 @@
 {
 
 /// \brief Serves callers on a loop of the test, before a sink that keeps what arrives.
-struct front
+struct caller_fixture
 {
-    explicit front(transport::session_limits limits = {})
+    explicit caller_fixture(transport::session_limits limits = {})
         : context{sink, pages, limits, coordination::cached_reader{fleet}}
     {
         accept();
@@ -31,7 +31,7 @@
             {
                 if (!error)
                 {
-                    transport::serve_caller(home, context, std::move(socket));
+                    transport::serve_caller(own_worker, context, std::move(socket));
                     accept();
                 }
             });
@@ -39,7 +39,7 @@
 
     [[nodiscard]] std::unique_ptr<tests::raw_peer> connect()
     {
-        return std::make_unique<tests::raw_peer>(home.context(), listener.where());
+        return std::make_unique<tests::raw_peer>(own_worker.context(), listener.where());
     }
 
     // Returns the answer to `bytes` up to its end as the connection's end or `until` shows it.
@@ -47,30 +47,30 @@
     {
         auto const peer = connect();
         peer->send(bytes);
-        REQUIRE(
-            run_until(home.context(), [&]
-                      { return peer->ended() || peer->got().find(until) != std::string::npos; }));
-        return peer->got();
+        REQUIRE(run_until(
+            own_worker.context(),
+            [&] { return peer->ended() || peer->received().find(until) != std::string::npos; }));
+        return peer->received();
     }
 
-    [[nodiscard]] std::shared_ptr<transport::caller_port> port(std::size_t index)
+    [[nodiscard]] std::shared_ptr<transport::answer_sink> caller_sink(std::size_t index)
     {
-        return home.find(sink.requests.at(index).caller);
+        return own_worker.find(sink.requests.at(index).caller);
     }
 
     [[nodiscard]] bool wait_for_requests(std::size_t count)
     {
-        return run_until(home.context(), [&] { return sink.requests.size() == count; });
+        return run_until(own_worker.context(), [&] { return sink.requests.size() == count; });
     }
 
     boost::asio::io_context loop{1};
-    transport::worker home{loop, 0, 1};
-    tests::loopback listener{home.context()};
+    transport::worker own_worker{loop, 0, 1};
+    tests::loopback listener{own_worker.context()};
     tests::fake_sink sink;
     coordination::published<coordination::fleet_snapshot> fleet{
         std::make_shared<coordination::fleet_snapshot const>()};
     transport::page_handler pages{
-        [](transport::page_request const& request, transport::page_answer const& answer)
+        [](transport::page_request const& request, transport::page_callback const& answer)
         {
             if (request.target == "/health")
             {
@@ -150,16 +150,16 @@
 // it reaches the decisions, and the next caller is served as if nothing had been.
 TEST_CASE("each malformed request gets its row of the error table")
 {
-    front vm;
+    caller_fixture vm;
     for (bad_input const& each : bad_inputs())
     {
         CAPTURE(each.name);
         state::error_answer const& row = state::answer_for(each.kind);
-        std::string const got = vm.answer(each.bytes, "}}");
-        CAPTURE(got);
-        CHECK(got.rfind("HTTP/1.1 " + std::to_string(row.status) + ' ', 0) == 0);
-        CHECK(got.find("\"kind\":\"" + std::string{row.name} + '"') != std::string::npos);
-        CHECK(got.find("\"claim\":\"" + std::string{state::claim_name(row.claim)} + '"') !=
+        std::string const received = vm.answer(each.bytes, "}}");
+        CAPTURE(received);
+        CHECK(received.rfind("HTTP/1.1 " + std::to_string(row.status) + ' ', 0) == 0);
+        CHECK(received.find("\"kind\":\"" + std::string{row.name} + '"') != std::string::npos);
+        CHECK(received.find("\"claim\":\"" + std::string{state::claim_name(row.claim)} + '"') !=
               std::string::npos);
     }
     CHECK(vm.sink.requests.empty());
@@ -170,7 +170,7 @@
 // process goes on and serves the next caller.
 TEST_CASE("mutated requests never stop the service")
 {
-    front vm;
+    caller_fixture vm;
     std::minstd_rand random{20261202};
     for (int round = 0; round < 400; ++round)
     {
@@ -182,8 +182,8 @@
         bytes.resize(round % 3 == 0 ? random() % bytes.size() : bytes.size());
         auto const peer = vm.connect();
         peer->send(bytes);
-        vm.home.context().restart();
-        vm.home.context().poll();
+        vm.own_worker.context().restart();
+        vm.own_worker.context().poll();
         peer->close();
     }
     CHECK(vm.answer("GET /health HTTP/1.1\r\n\r\n", "ready\n").find("200 OK") != std::string::npos);
@@ -194,64 +194,65 @@
 TEST_CASE("a head that never ends loses its connection")
 {
     transport::session_limits limits;
-    limits.reading = 50ms;
-    front vm{limits};
+    limits.read_timeout = 50ms;
+    caller_fixture vm{limits};
     auto const peer = vm.connect();
     peer->send("GET / HTTP/1.1\r\nX: ");
-    REQUIRE(run_until(vm.home.context(), [&] { return peer->ended(); }));
-    CHECK(peer->got().empty());
+    REQUIRE(run_until(vm.own_worker.context(), [&] { return peer->ended(); }));
+    CHECK(peer->received().empty());
 }
 
 TEST_CASE("an idle connection is closed")
 {
     transport::session_limits limits;
-    limits.idle = 50ms;
-    front vm{limits};
+    limits.keep_alive_timeout = 50ms;
+    caller_fixture vm{limits};
     auto const peer = vm.connect();
-    REQUIRE(run_until(vm.home.context(), [&] { return peer->ended(); }));
+    REQUIRE(run_until(vm.own_worker.context(), [&] { return peer->ended(); }));
 }
 
 TEST_CASE("a request sent before the answer to the last one is served next")
 {
-    front vm;
+    caller_fixture vm;
     auto const peer = vm.connect();
     peer->send(valid + valid);
     REQUIRE(vm.wait_for_requests(1));
-    vm.port(0)->deliver(coordination::send_head{});
-    vm.port(0)->deliver(coordination::send_token{{}, {}, {}, 0, "one"});
-    vm.port(0)->deliver(coordination::send_finished{{}, {}, 1, ""});
+    vm.caller_sink(0)->deliver(coordination::send_head{});
+    vm.caller_sink(0)->deliver(coordination::send_token{{}, {}, {}, 0, "one"});
+    vm.caller_sink(0)->deliver(coordination::send_finished{{}, {}, 1, ""});
     REQUIRE(vm.wait_for_requests(2));
-    vm.port(1)->deliver(
+    vm.caller_sink(1)->deliver(
         coordination::send_refused{{}, state::error_kind::overloaded, 1500ms, {}, 0});
-    REQUIRE(run_until(vm.home.context(),
-                      [&] { return peer->got().find("Retry-After: 2") != std::string::npos; }));
-    CHECK(peer->got().find("[DONE]") < peer->got().find("503"));
+    REQUIRE(run_until(vm.own_worker.context(), [&]
+                      { return peer->received().find("Retry-After: 2") != std::string::npos; }));
+    CHECK(peer->received().find("[DONE]") < peer->received().find("503"));
 }
 
 TEST_CASE("a reservation is answered whole, though its head comes first")
 {
-    front vm;
+    caller_fixture vm;
     auto const peer = vm.connect();
     peer->send(post("", "", "/v1/generations"));
     REQUIRE(vm.wait_for_requests(1));
     state::generation_id const id{{7}, {8}, 9, {}};
-    vm.port(0)->deliver(coordination::send_head{{}, id, {}});
-    vm.port(0)->deliver(coordination::send_finished{{}, id, 0, ""});
-    REQUIRE(
-        run_until(vm.home.context(), [&] { return peer->got().find("}") != std::string::npos; }));
-    CHECK(peer->got().find("{\"generation\":\"g-") != std::string::npos);
-    CHECK(peer->got().find("Transfer-Encoding") == std::string::npos);
+    vm.caller_sink(0)->deliver(coordination::send_head{{}, id, {}});
+    vm.caller_sink(0)->deliver(coordination::send_finished{{}, id, 0, ""});
+    REQUIRE(run_until(vm.own_worker.context(),
+                      [&] { return peer->received().find("}") != std::string::npos; }));
+    CHECK(peer->received().find("{\"generation\":\"g-") != std::string::npos);
+    CHECK(peer->received().find("Transfer-Encoding") == std::string::npos);
 }
 
 TEST_CASE("a caller that leaves while it waits is reported gone")
 {
-    front vm;
+    caller_fixture vm;
     auto const peer = vm.connect();
     peer->send(valid);
     REQUIRE(vm.wait_for_requests(1));
     peer->close();
-    REQUIRE(run_until(vm.home.context(), [&] { return vm.sink.has<coordination::caller_gone>(); }));
-    CHECK(vm.port(0) == nullptr);
+    REQUIRE(run_until(vm.own_worker.context(),
+                      [&] { return vm.sink.has<coordination::caller_disconnected>(); }));
+    CHECK(vm.caller_sink(0) == nullptr);
 }
 
 // A caller takes nothing of its stream. The upstream is paused once the bound is passed, another
@@ -261,31 +262,32 @@
     transport::session_limits limits;
     limits.buffer = 4096;
     limits.stalled = 200ms;
-    front vm{limits};
-    transport::tcp::socket stalled{vm.home.context()};
+    caller_fixture vm{limits};
+    transport::tcp::socket stalled{vm.own_worker.context()};
     stalled.connect(transport::to_tcp(vm.listener.where()));
     boost::asio::write(stalled, boost::asio::buffer(valid));
     REQUIRE(vm.wait_for_requests(1));
     auto const other = vm.connect();
     other->send(valid);
     REQUIRE(vm.wait_for_requests(2));
-    vm.port(0)->deliver(coordination::send_head{});
+    vm.caller_sink(0)->deliver(coordination::send_head{});
     std::string const text(65'536, 't');
     // Far more than the system itself buffers for a connection; on a slow machine the stalled
     // caller may be let go before all of it is delivered.
     for (std::uint32_t i = 0; i < 500; ++i)
     {
-        if (auto const port = vm.port(0))
+        if (auto const caller_sink = vm.caller_sink(0))
         {
-            port->deliver(coordination::send_token{{}, {}, {}, i, text});
+            caller_sink->deliver(coordination::send_token{{}, {}, {}, i, text});
         }
-        vm.home.context().restart();
-        vm.home.context().poll();
+        vm.own_worker.context().restart();
+        vm.own_worker.context().poll();
     }
     CHECK(vm.sink.has<coordination::caller_blocked>());
-    vm.port(1)->deliver(coordination::send_head{});
-    vm.port(1)->deliver(coordination::send_finished{{}, {}, 0, ""});
-    REQUIRE(run_until(vm.home.context(),
-                      [&] { return other->got().find("[DONE]") != std::string::npos; }));
-    REQUIRE(run_until(vm.home.context(), [&] { return vm.sink.has<coordination::caller_gone>(); }));
+    vm.caller_sink(1)->deliver(coordination::send_head{});
+    vm.caller_sink(1)->deliver(coordination::send_finished{{}, {}, 0, ""});
+    REQUIRE(run_until(vm.own_worker.context(),
+                      [&] { return other->received().find("[DONE]") != std::string::npos; }));
+    REQUIRE(run_until(vm.own_worker.context(),
+                      [&] { return vm.sink.has<coordination::caller_disconnected>(); }));
 }
--- a/tests/transport/test_http_fetch.cpp
+++ b/tests/transport/test_http_fetch.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-std::string const whole_answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+std::string const ok_response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 /// \brief Accepts connections and keeps them; the test answers by hand.
 struct fake_engine
@@ -41,8 +41,8 @@
     {
         std::size_t const before = answers.size();
         read();
-        REQUIRE(run_until(context, [&] { return asked(connection); }));
-        connections[connection]->send(whole_answer);
+        REQUIRE(run_until(context, [&] { return request_arrived(connection); }));
+        connections[connection]->send(ok_response);
         REQUIRE(run_until(context, [&] { return answers.size() > before; }));
     }
 
@@ -59,13 +59,13 @@
     }
 
     /// \brief Whether the newest request has arrived on this connection.
-    [[nodiscard]] bool asked(std::size_t connection) const
+    [[nodiscard]] bool request_arrived(std::size_t connection) const
     {
         std::size_t requests = 0;
         for (auto const& each : connections)
         {
-            for (std::size_t at = 0; (at = each->got().find("\r\n\r\n", at)) != std::string::npos;
-                 at += 4)
+            for (std::size_t at = 0;
+                 (at = each->received().find("\r\n\r\n", at)) != std::string::npos; at += 4)
             {
                 ++requests;
             }
@@ -99,7 +99,7 @@
     engine.read_and_answer(0);
     engine.send(
         {engine.listener.where(), "POST", "/v1/orders", "{}", {}, std::chrono::seconds{20}});
-    CHECK(run_until(engine.context, [&] { return engine.asked(1); }));
+    CHECK(run_until(engine.context, [&] { return engine.request_arrived(1); }));
 }
 
 // An engine closes the idle connection. The next read would fail and the engine be taken for dead,
@@ -111,8 +111,8 @@
     engine.connections[0]->close();
     engine.read();
     REQUIRE(run_until(engine.context, [&] { return engine.connections.size() == 2; }));
-    REQUIRE(run_until(engine.context, [&] { return !engine.connections[1]->got().empty(); }));
-    engine.connections[1]->send(whole_answer);
+    REQUIRE(run_until(engine.context, [&] { return !engine.connections[1]->received().empty(); }));
+    engine.connections[1]->send(ok_response);
     REQUIRE(run_until(engine.context, [&] { return engine.answers.size() == 2; }));
     CHECK(engine.answers.back().has_value());
 }
@@ -125,8 +125,8 @@
     engine.read_and_answer(0);
     engine.read(std::chrono::milliseconds{300});
     REQUIRE(run_until(engine.context, [&] { return engine.connections.size() == 2; }));
-    REQUIRE(run_until(engine.context, [&] { return !engine.connections[1]->got().empty(); }));
-    engine.connections[1]->send(whole_answer);
+    REQUIRE(run_until(engine.context, [&] { return !engine.connections[1]->received().empty(); }));
+    engine.connections[1]->send(ok_response);
     REQUIRE(run_until(engine.context, [&] { return engine.answers.size() == 2; }));
     CHECK(engine.answers.back().has_value());
 }
--- a/tests/transport/test_peer_link.cpp
+++ b/tests/transport/test_peer_link.cpp
@@ -8,7 +8,7 @@
 
 using namespace plumdale;
 using namespace std::chrono_literals;
-using protocol::caller_news;
+using protocol::caller_event;
 using tests::loopback;
 using tests::run_until;
 
@@ -55,14 +55,14 @@
     return settings;
 }
 
-struct pair_of_links
+struct link_pair
 {
-    void open(transport::link_settings const& opener, transport::link_settings const& accepter)
+    void open(transport::link_settings const& initiator, transport::link_settings const& responder)
     {
         listener.acceptor.async_accept(
-            [this, accepter](boost::system::error_code, transport::tcp::socket socket)
-            { b.link = accept_link(std::move(socket), accepter, b.listener()); });
-        a.link = open_link(context, listener.where(), opener, a.listener());
+            [this, responder](boost::system::error_code, transport::tcp::socket socket)
+            { b.link = accept_link(std::move(socket), responder, b.listener()); });
+        a.link = open_link(context, listener.where(), initiator, a.listener());
     }
 
     boost::asio::io_context context;
@@ -75,13 +75,13 @@
 
 TEST_CASE("two entry VMs exchange frames over a link")
 {
-    pair_of_links links;
+    link_pair links;
     links.open(settings_of(1), settings_of(2));
-    links.a.link->send({5, caller_news::gone}); // before the link is open
+    links.a.link->send({5, caller_event::disconnected}); // before the link is open
     REQUIRE(run_until(links.context, [&] { return !links.b.frames.empty(); }));
     CHECK(links.b.frames[0].exchange == 5);
     CHECK(links.b.link->peer() == state::node_id{1});
-    links.b.link->send({6, caller_news::ready});
+    links.b.link->send({6, caller_event::ready});
     REQUIRE(run_until(links.context, [&] { return !links.a.frames.empty(); }));
     CHECK(links.a.link->peer() == state::node_id{2});
     links.a.link->close();
@@ -93,9 +93,9 @@
 // hello has a wrong MAC, and the link ends before any request was sent.
 TEST_CASE("a link with another fleet key never opens")
 {
-    pair_of_links links;
+    link_pair links;
     links.open(settings_of(1), settings_of(2, "another key of the fleet"));
-    links.a.link->send({5, caller_news::gone});
+    links.a.link->send({5, caller_event::disconnected});
     REQUIRE(run_until(links.context, [&] { return links.a.closed && links.b.closed; }));
     CHECK_FALSE(links.a.opened);
     CHECK_FALSE(links.b.opened);
@@ -110,11 +110,11 @@
     transport::link_settings unchanged = settings_of(2);
     changed.accepted_fleet_keys = {unchanged.fleet_key};
     unchanged.accepted_fleet_keys = {changed.fleet_key};
-    pair_of_links links;
+    link_pair links;
     links.open(changed, unchanged);
-    links.a.link->send({5, caller_news::gone});
+    links.a.link->send({5, caller_event::disconnected});
     REQUIRE(run_until(links.context, [&] { return !links.b.frames.empty(); }));
-    links.b.link->send({6, caller_news::ready});
+    links.b.link->send({6, caller_event::ready});
     REQUIRE(run_until(links.context, [&] { return !links.a.frames.empty(); }));
 }
 
@@ -125,8 +125,8 @@
     boost::asio::io_context context;
     loopback silent{context};
     transport::link_settings settings = settings_of(1);
-    settings.heartbeat = 5ms;
-    settings.silence = 40ms;
+    settings.heartbeat_interval = 5ms;
+    settings.silence_timeout = 40ms;
     side a;
     a.link = open_link(context, silent.where(), settings, a.listener());
     REQUIRE(run_until(context, [&] { return a.closed; }));
@@ -135,12 +135,12 @@
 
 TEST_CASE("heartbeats keep an idle link open")
 {
-    pair_of_links links;
-    transport::link_settings opener = settings_of(1);
-    transport::link_settings accepter = settings_of(2);
-    opener.heartbeat = accepter.heartbeat = 20ms;
-    opener.silence = accepter.silence = 2s;
-    links.open(opener, accepter);
+    link_pair links;
+    transport::link_settings initiator = settings_of(1);
+    transport::link_settings responder = settings_of(2);
+    initiator.heartbeat_interval = responder.heartbeat_interval = 20ms;
+    initiator.silence_timeout = responder.silence_timeout = 2s;
+    links.open(initiator, responder);
     auto const start = std::chrono::steady_clock::now();
     REQUIRE(
         run_until(links.context, [&] { return std::chrono::steady_clock::now() - start > 3s; }));
@@ -183,7 +183,7 @@
 // it reads again.
 TEST_CASE("a link that carries too much says so")
 {
-    pair_of_links links;
+    link_pair links;
     links.open(settings_of(1), settings_of(2));
     REQUIRE(run_until(links.context, [&] { return links.a.opened && links.b.opened; }));
     std::string const text(65'536, 't');
--- a/tests/transport/test_relay.cpp
+++ b/tests/transport/test_relay.cpp
@@ -56,12 +56,12 @@
         state::request request;
         request.model = state::model_id{4};
         client.relay({{caller}, {9}, listener.where(), request});
-        return run_until(home.context(), [&] { return sink.requests.size() > before; });
+        return run_until(own_worker.context(), [&] { return sink.requests.size() > before; });
     }
 
-    std::shared_ptr<transport::caller_port> port(std::size_t index)
+    std::shared_ptr<transport::answer_sink> caller_sink(std::size_t index)
     {
-        return home.find(sink.requests.at(index).caller);
+        return own_worker.find(sink.requests.at(index).caller);
     }
 
     template <class Event>
@@ -71,13 +71,13 @@
     }
 
     boost::asio::io_context loop{1};
-    transport::worker home{loop, 0, 1};
-    tests::loopback listener{home.context()};
+    transport::worker own_worker{loop, 0, 1};
+    tests::loopback listener{own_worker.context()};
     tests::fake_sink sink;
     fake_content content;
-    transport::relay_server server{home, sink, content, settings_of(9)};
+    transport::relay_server server{own_worker, sink, content, settings_of(9)};
     std::vector<coordination::request_event> events;
-    transport::relay_client client{home.context(), settings_of(1),
+    transport::relay_client client{own_worker.context(), settings_of(1),
                                    [this](coordination::request_event event)
                                    {
                                        events.push_back(std::move(event));
@@ -92,14 +92,14 @@
     REQUIRE(vms.relay(21));
     CHECK(vms.sink.requests[0].relayed_by == state::node_id{1});
     CHECK(vms.sink.requests[0].request.model == state::model_id{4});
-    auto const port = vms.port(0);
-    REQUIRE(port != nullptr);
-    port->deliver(coordination::send_head{{}, {}, {5}});
-    port->deliver(coordination::send_token{{}, {}, {5}, 0, "a"});
-    port->deliver(coordination::send_token{{}, {}, {5}, 1, "b"});
-    port->deliver(coordination::send_finished{{}, {}, 2, ""});
-    CHECK(vms.port(0) == nullptr);
-    REQUIRE(run_until(vms.home.context(), [&] { return vms.events.size() == 4; }));
+    auto const caller_sink = vms.caller_sink(0);
+    REQUIRE(caller_sink != nullptr);
+    caller_sink->deliver(coordination::send_head{{}, {}, {5}});
+    caller_sink->deliver(coordination::send_token{{}, {}, {5}, 0, "a"});
+    caller_sink->deliver(coordination::send_token{{}, {}, {5}, 1, "b"});
+    caller_sink->deliver(coordination::send_finished{{}, {}, 2, ""});
+    CHECK(vms.caller_sink(0) == nullptr);
+    REQUIRE(run_until(vms.own_worker.context(), [&] { return vms.events.size() == 4; }));
     CHECK(std::get<coordination::relay_head>(vms.events[0]).caller == state::caller_handle{21});
     CHECK(std::get<coordination::relay_token>(vms.events[2]).text == "b");
     CHECK(std::get<coordination::relay_finished>(vms.events[3]).count == 2);
@@ -109,9 +109,9 @@
 {
     two_vms vms;
     REQUIRE(vms.relay(21));
-    vms.port(0)->deliver(coordination::send_refused{
+    vms.caller_sink(0)->deliver(coordination::send_refused{
         {}, state::error_kind::overloaded, std::chrono::milliseconds{1500}, {}, 0});
-    REQUIRE(run_until(vms.home.context(), [&] { return !vms.events.empty(); }));
+    REQUIRE(run_until(vms.own_worker.context(), [&] { return !vms.events.empty(); }));
     auto const* refused = vms.last<coordination::relay_refused>();
     REQUIRE(refused != nullptr);
     CHECK(refused->kind == state::error_kind::overloaded);
@@ -125,15 +125,15 @@
     two_vms vms;
     REQUIRE(vms.relay(21));
     REQUIRE(vms.relay(22));
-    vms.client.tell({21}, protocol::caller_news::blocked);
-    REQUIRE(run_until(vms.home.context(),
+    vms.client.send_event({21}, protocol::caller_event::blocked);
+    REQUIRE(run_until(vms.own_worker.context(),
                       [&] { return vms.sink.has<coordination::caller_blocked>(); }));
     CHECK(vms.sink.events.size() == 1);
     CHECK(std::get<coordination::caller_blocked>(vms.sink.events[0]).caller ==
           vms.sink.requests[0].caller);
-    vms.client.tell({21}, protocol::caller_news::ready);
-    REQUIRE(
-        run_until(vms.home.context(), [&] { return vms.sink.has<coordination::caller_ready>(); }));
+    vms.client.send_event({21}, protocol::caller_event::ready);
+    REQUIRE(run_until(vms.own_worker.context(),
+                      [&] { return vms.sink.has<coordination::caller_ready>(); }));
 }
 
 TEST_CASE("a caller that leaves is gone at the owner too")
@@ -141,9 +141,9 @@
     two_vms vms;
     REQUIRE(vms.relay(21));
     vms.client.close({21});
-    REQUIRE(
-        run_until(vms.home.context(), [&] { return vms.sink.has<coordination::caller_gone>(); }));
-    CHECK(vms.port(0) == nullptr);
+    REQUIRE(run_until(vms.own_worker.context(),
+                      [&] { return vms.sink.has<coordination::caller_disconnected>(); }));
+    CHECK(vms.caller_sink(0) == nullptr);
 }
 
 // The owner can't be reached at all: nothing was sent, and the request may be called not run.
@@ -152,11 +152,11 @@
     two_vms vms;
     state::endpoint const closed = [&]
     {
-        tests::loopback gone{vms.home.context()};
+        tests::loopback gone{vms.own_worker.context()};
         return gone.where();
     }();
     vms.client.relay({{21}, {9}, closed, {}});
-    REQUIRE(run_until(vms.home.context(), [&] { return !vms.events.empty(); }));
+    REQUIRE(run_until(vms.own_worker.context(), [&] { return !vms.events.empty(); }));
     auto const* failed = vms.last<coordination::relay_failed>();
     REQUIRE(failed != nullptr);
     CHECK(failed->caller == state::caller_handle{21});
--- a/tests/transport/test_upstream_stream.cpp
+++ b/tests/transport/test_upstream_stream.cpp
@@ -78,7 +78,7 @@
     {
         REQUIRE(run());
         auto const* const failed = std::get_if<upstream_failed>(&events.back());
-        return failed == nullptr ? std::nullopt : std::optional{failed->why};
+        return failed == nullptr ? std::nullopt : std::optional{failed->cause};
     }
 
     [[nodiscard]] std::size_t tokens() const
@@ -103,7 +103,7 @@
 {
     std::string name;
     std::string bytes;
-    upstream_failure why;
+    upstream_failure cause;
 };
 
 } // namespace
@@ -142,7 +142,7 @@
     {
         CAPTURE(each.name);
         exchange made{each.bytes};
-        CHECK(made.failure() == each.why);
+        CHECK(made.failure() == each.cause);
     }
 }
 
@@ -167,13 +167,13 @@
         wanted.address = gone.where();
     }
     wanted.body = std::make_shared<std::string const>("prompt");
-    std::optional<upstream_failure> why;
+    std::optional<upstream_failure> cause;
     auto const stream =
         transport::open_engine_stream(context, wanted, "m",
                                       [&](coordination::request_event const& event)
-                                      { why = std::get<upstream_failed>(event).why; });
-    REQUIRE(run_until(context, [&] { return why.has_value(); }));
-    CHECK(*why == upstream_failure::not_connected);
+                                      { cause = std::get<upstream_failed>(event).cause; });
+    REQUIRE(run_until(context, [&] { return cause.has_value(); }));
+    CHECK(*cause == upstream_failure::not_connected);
 }
 
 // The service ran the call and said so with a status of its own: the caller gets it, not an error
