--- a/include/plumdale/coordination/content_exchange.hpp
+++ b/include/plumdale/coordination/content_exchange.hpp
@@ -36,7 +36,7 @@
         }
     }
     /// \brief A new version is held: it is announced, and nothing older is fetched any more.
-    void held(state::content_ref const& ref, std::size_t fleet_size);
+    void announce(state::content_ref const& ref, std::size_t fleet_size);
     void unavailable(content_unavailable const& event, state::time_point now);
     /// \brief Answers a peer that asks for a value.
     void serve(content_requested const& event, control_actions& actions) const;
--- a/include/plumdale/coordination/evacuation_orders.hpp
+++ b/include/plumdale/coordination/evacuation_orders.hpp
@@ -21,7 +21,7 @@
 /// that was taken back can't return by a message from before. Example:
 /// \code
 /// evacuation_orders orders;
-/// orders.take({revision, {{zone, revision}}}, now);
+/// orders.merge({revision, {{zone, revision}}}, now);
 /// if (orders.covers(zone)) { ... }
 /// \endcode
 class evacuation_orders
@@ -29,8 +29,8 @@
 public:
     /// \brief Takes the whole set as of a revision; returns what it changed, nothing if an equally
     /// new one is known.
-    std::vector<state::evacuation_change> take(state::evacuations const& received,
-                                               state::time_point now);
+    std::vector<state::evacuation_change> merge(state::evacuations const& received,
+                                                state::time_point now);
     /// \brief Takes the changes up to revision `as_of`, which follow on a revision that is known;
     /// returns what they changed.
     std::vector<state::evacuation_change>
--- a/include/plumdale/coordination/fleet_update.hpp
+++ b/include/plumdale/coordination/fleet_update.hpp
@@ -63,7 +63,7 @@
     bool requests_evidence = false;
     std::vector<state::stated_limit> limits;
     /// \brief Number of the message that the receiver passes on within `range`; zero for none.
-    std::uint64_t spread = 0;
+    std::uint64_t broadcast_id = 0;
     broadcast_range range;
     bool has_range = false;
 };
--- a/include/plumdale/coordination/fleet_view.hpp
+++ b/include/plumdale/coordination/fleet_view.hpp
@@ -128,7 +128,7 @@
     }
 
     /// \brief Two readers: one may fall silent without a gap in what the fleet hears.
-    static constexpr std::size_t readers = 2;
+    static constexpr std::size_t reader_count = 2;
     /// \brief Time between two periodic messages of an entry VM: 10 ms for each one that hears it,
     /// within these bounds.
     static constexpr state::duration reader_interval_per_peer = std::chrono::milliseconds{10};
--- a/include/plumdale/coordination/load_ledger.hpp
+++ b/include/plumdale/coordination/load_ledger.hpp
@@ -52,8 +52,9 @@
     /// \brief Takes a peer's rows; with `is_complete`, members that are not named have none of its
     /// calls. News that was overtaken within one uptime of the peer is dropped; another uptime
     /// starts anew.
-    void take(state::node_id peer, state::incarnation incarnation_number, std::uint64_t sequence,
-              bool is_complete, std::span<member_load const> rows, state::time_point now);
+    void apply_update(state::node_id peer, state::incarnation incarnation_number,
+                      std::uint64_t sequence, bool is_complete, std::span<member_load const> rows,
+                      state::time_point now);
     /// \brief Drops peers that were not heard for `silence`: an entry VM that died is silent, and
     /// its calls end at the upstreams with its connections.
     void forget_silent(state::time_point now, state::duration silence);
--- a/include/plumdale/coordination/load_update_queue.hpp
+++ b/include/plumdale/coordination/load_update_queue.hpp
@@ -35,7 +35,8 @@
     void push(state::member_key member);
     /// \brief Returns the upstreams that are to be told to `peer_count` peers now, and takes them
     /// off; none while the budget doesn't allow it.
-    [[nodiscard]] std::vector<state::member_key> due(state::time_point now, std::size_t peer_count);
+    [[nodiscard]] std::vector<state::member_key> take_due(state::time_point now,
+                                                          std::size_t peer_count);
 
     /// \brief Half of the 22 KB/s that an entry VM may spend on control in a fleet of 380.
     static constexpr double default_bytes_per_second = 11'000.0;
--- a/include/plumdale/coordination/overflow_limit.hpp
+++ b/include/plumdale/coordination/overflow_limit.hpp
@@ -48,8 +48,8 @@
                                         load_forecast const& candidate, state::work_kind kind,
                                         double share) const noexcept;
     /// \brief Returns the fullest projection, mean and deviations, as a part of the memory.
-    [[nodiscard]] double fill(engine_forecast const& engine,
-                              load_forecast const& candidate) const noexcept;
+    [[nodiscard]] double projected_fullness(engine_forecast const& engine,
+                                            load_forecast const& candidate) const noexcept;
 
     /// \brief Returns the learnt factor on the memory limit.
     [[nodiscard]] double factor() const noexcept;
@@ -59,8 +59,8 @@
 private:
     /// \brief Returns the part of the memory in use now or at the first horizon point. A question
     /// is over before drafts that grow could crowd it, so nothing further ahead counts for it.
-    [[nodiscard]] static double near_fill(engine_forecast const& engine,
-                                          load_forecast const& candidate) noexcept;
+    [[nodiscard]] static double near_term_fullness(engine_forecast const& engine,
+                                                   load_forecast const& candidate) noexcept;
 
     double factor_ = 1.0;
     double answers_ = 0.0;
--- a/include/plumdale/coordination/service_directory.hpp
+++ b/include/plumdale/coordination/service_directory.hpp
@@ -70,7 +70,7 @@
     /// \brief Joins one piece of news; `member.listed` says whether it is listed or removed.
     directory_change merge(state::service_member const& member, state::time_point now);
     /// \brief Another upstream answered at this one's address: it is gone.
-    void replaced(state::member_key key, state::time_point now);
+    void mark_replaced(state::member_key key, state::time_point now);
     /// \brief The platform is reachable again after an outage. Upstreams whose entries lapsed
     /// meanwhile have until `lapse_grace` to come back before their removal counts.
     void platform_recovered(state::time_point now) noexcept;
--- a/include/plumdale/protocol/dialect.hpp
+++ b/include/plumdale/protocol/dialect.hpp
@@ -62,7 +62,7 @@
     /// \brief Empty when the call has no customer.
     std::string customer;
     std::optional<unsigned> priority;
-    std::optional<resume_point> resumed;
+    std::optional<resume_point> resume_from;
     /// \brief Upstream that keeps a copy of the generation's memory as it grows.
     std::optional<state::endpoint> backup;
 };
@@ -189,7 +189,7 @@
     [[nodiscard]] virtual std::optional<std::uint64_t>
     read_era(std::span<header_field const> fields) const = 0;
     /// \brief Reads a page of upstreams or of what the operators wrote.
-    [[nodiscard]] virtual state::result<store_page> read_list(std::string_view body) const = 0;
+    [[nodiscard]] virtual state::result<store_page> read_page(std::string_view body) const = 0;
     [[nodiscard]] virtual std::string watch_target(std::uint64_t after,
                                                    state::duration wait) const = 0;
     [[nodiscard]] virtual state::result<store_page> read_changes(std::string_view body) const = 0;
--- a/include/plumdale/protocol/forward_settings.hpp
+++ b/include/plumdale/protocol/forward_settings.hpp
@@ -35,7 +35,7 @@
     state::duration event_delay = std::chrono::milliseconds{120};
     /// \brief Bytes a second that go on telling peers of starts and ends of generations.
     double load_news_bytes_per_second = coordination::load_update_queue::default_bytes_per_second;
-    coordination::fleet_retry_limit repeats;
+    coordination::fleet_retry_limit retry_limit;
 };
 
 /// \brief Returns whether a settings file is one of a forwarding entry VM.
--- a/include/plumdale/protocol/http_reader.hpp
+++ b/include/plumdale/protocol/http_reader.hpp
@@ -35,7 +35,7 @@
 {
     head,     ///< The head is not whole yet.
     body,     ///< The head is whole, the body is not.
-    whole,    ///< The message ended; bytes behind it were not taken.
+    complete, ///< The message ended; bytes behind it were not taken.
     malformed ///< These bytes are no HTTP message, or an ambiguous or oversized one.
 };
 
@@ -46,7 +46,7 @@
 /// \code
 /// http_reader reader{message_role::request, {16384, 1 << 20}};
 /// reader.append(bytes);
-/// if (reader.progress() == read_progress::whole) { use(reader.head(), reader.take_body()); }
+/// if (reader.progress() == read_progress::complete) { use(reader.head(), reader.take_body()); }
 /// \endcode
 class http_reader
 {
--- a/programs/plumctl/fleet_summary.cpp
+++ b/programs/plumctl/fleet_summary.cpp
@@ -51,7 +51,7 @@
     {
         zone_summary& zone = zones[entry.zone];
         zone.zone = entry.zone;
-        ++zone.entries;
+        ++zone.entry_count;
         zone.ready += entry.is_ready ? 1 : 0;
         zone.readers += entry.is_active_reader ? 1 : 0;
         zone.on_newest_configuration += entry.configuration == expected.configuration ? 1 : 0;
--- a/programs/plumctl/fleet_summary.hpp
+++ b/programs/plumctl/fleet_summary.hpp
@@ -32,7 +32,7 @@
 struct zone_summary
 {
     std::string zone;
-    std::size_t entries = 0;
+    std::size_t entry_count = 0;
     std::size_t ready = 0;
     std::size_t readers = 0;
     /// \brief Those that follow the newest configuration of the whole fleet.
--- a/programs/plumctl/forward.cpp
+++ b/programs/plumctl/forward.cpp
@@ -141,7 +141,7 @@
         {"ZONE", "VMS", "READY", "READERS", "CURRENT", "AGREEING", "OLDEST PLATFORM MS", "CALLS"}};
     for (zone_summary const& zone : summarize_zones(entries))
     {
-        table.push_back({zone.zone, std::to_string(zone.entries), std::to_string(zone.ready),
+        table.push_back({zone.zone, std::to_string(zone.entry_count), std::to_string(zone.ready),
                          std::to_string(zone.readers), std::to_string(zone.on_newest_configuration),
                          std::to_string(zone.on_majority_directory),
                          std::to_string(zone.max_platform_age_ms), std::to_string(zone.calls)});
--- a/src/coordination/content_exchange.cpp
+++ b/src/coordination/content_exchange.cpp
@@ -47,7 +47,7 @@
     }
 }
 
-void content_exchange::held(state::content_ref const& ref, std::size_t fleet_size)
+void content_exchange::announce(state::content_ref const& ref, std::size_t fleet_size)
 {
     auto const at = pending_fetches_.find(ref.key);
     if (at != pending_fetches_.end() && at->second.ref <= ref)
--- a/src/coordination/evacuation_orders.cpp
+++ b/src/coordination/evacuation_orders.cpp
@@ -30,8 +30,8 @@
 
 } // namespace
 
-std::vector<evacuation_change> evacuation_orders::take(state::evacuations const& received,
-                                                       state::time_point now)
+std::vector<evacuation_change> evacuation_orders::merge(state::evacuations const& received,
+                                                        state::time_point now)
 {
     // One that was cut off, or whose message was delayed, tells of orders that have been taken back
     // since: only the newest set counts, whole.
--- a/src/coordination/fleet_view.cpp
+++ b/src/coordination/fleet_view.cpp
@@ -131,11 +131,11 @@
     auto const before = static_cast<std::size_t>(std::count_if(
         peers_.begin(), peers_.end(),
         [this, now](auto const& each) { return is_candidate(each.first, each.second, now); }));
-    std::size_t const failed_pairs = lower_ranked_failures_ / readers;
+    std::size_t const failed_pairs = lower_ranked_failures_ / reader_count;
     state::duration const pause =
         failed_pairs < 2 ? state::duration{}
                          : static_cast<std::int64_t>(failed_pairs - 1) * failed_pair_delay;
-    std::size_t const wanted = readers - active_readers;
+    std::size_t const wanted = reader_count - active_readers;
     if (before < wanted)
     {
         return pause;
@@ -166,7 +166,7 @@
         readers_.begin(), readers_.end(),
         [this, now](auto const& each)
         { return is_fresh(each.second, now) && rank_of(each.first) < rank_of(self_); }));
-    if (active_readers >= readers)
+    if (active_readers >= reader_count)
     {
         too_few_readers_since_ = state::never;
         lower_ranked_failures_ = 0;
--- a/src/coordination/load_ledger.cpp
+++ b/src/coordination/load_ledger.cpp
@@ -61,9 +61,9 @@
     peer.rows.clear();
 }
 
-void load_ledger::take(state::node_id peer, state::incarnation incarnation_number,
-                       std::uint64_t sequence, bool is_complete, std::span<member_load const> rows,
-                       state::time_point now)
+void load_ledger::apply_update(state::node_id peer, state::incarnation incarnation_number,
+                               std::uint64_t sequence, bool is_complete,
+                               std::span<member_load const> rows, state::time_point now)
 {
     peer_rows& known = peers_[peer];
     if (incarnation_number != known.incarnation_number)
--- a/src/coordination/load_update_queue.cpp
+++ b/src/coordination/load_update_queue.cpp
@@ -19,7 +19,8 @@
     }
 }
 
-std::vector<state::member_key> load_update_queue::due(state::time_point now, std::size_t peer_count)
+std::vector<state::member_key> load_update_queue::take_due(state::time_point now,
+                                                           std::size_t peer_count)
 {
     double const burst = burst_seconds * bytes_per_second_;
     double const gained =
--- a/src/coordination/overflow_limit.cpp
+++ b/src/coordination/overflow_limit.cpp
@@ -70,16 +70,16 @@
     factor_ = std::clamp(factor_, lowest_factor, highest_factor);
 }
 
-double overflow_limit::near_fill(engine_forecast const& engine,
-                                 load_forecast const& candidate) noexcept
+double overflow_limit::near_term_fullness(engine_forecast const& engine,
+                                          load_forecast const& candidate) noexcept
 {
     double const mean = engine.load.mean[0] + candidate.mean[0];
     double const held = engine.held + candidate.mean[0];
     return engine.capacity > 0.0 ? std::max(mean, held) / engine.capacity : 0.0;
 }
 
-double overflow_limit::fill(engine_forecast const& engine,
-                            load_forecast const& candidate) const noexcept
+double overflow_limit::projected_fullness(engine_forecast const& engine,
+                                          load_forecast const& candidate) const noexcept
 {
     double fullest = 0.0;
     for (std::size_t i = 0; i < horizon_points; ++i)
@@ -103,7 +103,8 @@
     {
         return capacity_status::batch_full;
     }
-    double const used = draft ? fill(engine, candidate) : near_fill(engine, candidate);
+    double const used =
+        draft ? projected_fullness(engine, candidate) : near_term_fullness(engine, candidate);
     double const limit = share * (draft ? factor_ * (1.0 - headroom_) : question_fill_limit);
     return used <= limit ? capacity_status::free : capacity_status::memory_full;
 }
--- a/src/coordination/preset_agreement.cpp
+++ b/src/coordination/preset_agreement.cpp
@@ -86,7 +86,7 @@
     state::content_ref const ref = item.ref;
     if (content_.put(std::move(item)))
     {
-        exchange_.held(ref, members_.entries().size());
+        exchange_.announce(ref, members_.entries().size());
         ++version_;
         update_pending_ = true;
         apply_stamp();
--- a/src/coordination/projected_memory_policy.cpp
+++ b/src/coordination/projected_memory_policy.cpp
@@ -287,7 +287,8 @@
         return;
     }
     bool const warm = view.info.id == found.warm;
-    double const fill = found.model.limit.fill(engine, found.demand) - (warm ? warm_bonus : 0.0);
+    double const fill =
+        found.model.limit.projected_fullness(engine, found.demand) - (warm ? warm_bonus : 0.0);
     if (found.best == nullptr || fill < found.best_fill)
     {
         found.best = &view;
--- a/src/coordination/service_directory.cpp
+++ b/src/coordination/service_directory.cpp
@@ -237,7 +237,7 @@
     }
 }
 
-void service_directory::replaced(member_key key, state::time_point now)
+void service_directory::mark_replaced(member_key key, state::time_point now)
 {
     if (auto const found = entries_.find(key); found != entries_.end())
     {
--- a/src/protocol/fleet_codec.cpp
+++ b/src/protocol/fleet_codec.cpp
@@ -171,7 +171,7 @@
     update.directory = from.getDirectory();
     update.platform_age_ms = from.getPlatformAgeMs();
     update.heartbeat = from.getBeat();
-    update.spread = from.getSpread();
+    update.broadcast_id = from.getSpread();
     update.has_range = from.getPassesOn();
     update.range = {state::node_id{from.getOrigin()}, from.getFirst(), from.getLast()};
     update.whole = from.getWhole();
@@ -263,7 +263,7 @@
             write_rows(to.initMembers(static_cast<unsigned int>(update.members.size())),
                        update.members);
             to.setBeat(update.heartbeat);
-            to.setSpread(update.spread);
+            to.setSpread(update.broadcast_id);
             to.setPassesOn(update.has_range);
             // Left out where they are not needed: most messages are passed on by nobody.
             if (update.has_range)
--- a/src/protocol/forward_settings.cpp
+++ b/src/protocol/forward_settings.cpp
@@ -74,7 +74,7 @@
     reader.seconds("grace_s", settings.grace, 0.0, hour_s);
     reader.milliseconds("event_delay_ms", settings.event_delay, 1, hour_ms);
     reader.real("load_news_bytes_per_s", settings.load_news_bytes_per_second, 1e3, 1e9);
-    read_retry_limit(reader, settings.repeats);
+    read_retry_limit(reader, settings.retry_limit);
     reader.reject_unknown_keys();
     if (settings.fleet_key.size() < min_fleet_key_length)
     {
--- a/src/protocol/http_reader.cpp
+++ b/src/protocol/http_reader.cpp
@@ -128,7 +128,7 @@
         {
             error_code error;
             answer_->put_eof(error);
-            progress_ = error ? read_progress::malformed : read_progress::whole;
+            progress_ = error ? read_progress::malformed : read_progress::complete;
         }
     }
 
@@ -163,7 +163,7 @@
         if (parser.is_header_done())
         {
             set_framing(parser);
-            progress_ = parser.is_done() ? read_progress::whole : read_progress::body;
+            progress_ = parser.is_done() ? read_progress::complete : read_progress::body;
         }
     }
 
--- a/src/transport/answer_meter.cpp
+++ b/src/transport/answer_meter.cpp
@@ -16,7 +16,7 @@
     last_progress_ = now;
 }
 
-void answer_meter::token(state::time_point now)
+void answer_meter::record_token(state::time_point now)
 {
     ++metrics_.counts.tokens;
     state::duration const waited = now - std::exchange(last_progress_, now);
@@ -33,19 +33,19 @@
     metrics_.error_budgets.record_first_token(key_, waited, now);
 }
 
-void answer_meter::whole(state::time_point now)
+void answer_meter::record_whole(state::time_point now)
 {
-    ++metrics_.counts.whole;
+    ++metrics_.counts.answers_whole;
     finish(answer_outcome::whole, now);
 }
 
-void answer_meter::refused(state::error_kind kind, state::time_point now)
+void answer_meter::record_refusal(state::error_kind kind, state::time_point now)
 {
     ++metrics_.counts.refused[static_cast<std::size_t>(kind)];
     finish(coordination::answer_outcome_for(kind, has_first_token_), now);
 }
 
-void answer_meter::left(state::time_point now)
+void answer_meter::record_disconnect(state::time_point now)
 {
     ++metrics_.counts.callers_left;
     finish(answer_outcome::left, now);
--- a/src/transport/answer_meter.hpp
+++ b/src/transport/answer_meter.hpp
@@ -18,11 +18,11 @@
 
     /// \brief A request begins; what an earlier one left is forgotten.
     void begin(coordination::error_budget_key key, bool counted, state::time_point now);
-    void token(state::time_point now);
-    void whole(state::time_point now);
+    void record_token(state::time_point now);
+    void record_whole(state::time_point now);
     /// \brief Refused before any token, or broken off after one.
-    void refused(state::error_kind kind, state::time_point now);
-    void left(state::time_point now);
+    void record_refusal(state::error_kind kind, state::time_point now);
+    void record_disconnect(state::time_point now);
 
 private:
     void finish(coordination::answer_outcome outcome, state::time_point now);
--- a/src/transport/call_admission.cpp
+++ b/src/transport/call_admission.cpp
@@ -64,7 +64,7 @@
         return rejection{error_kind::not_ready, "no configuration or upstreams yet"};
     }
     protocol::message_head const& head = admitted.call.head;
-    if (admitted.terms.id.empty() || head.count("Host") != 1)
+    if (admitted.headers.id.empty() || head.count("Host") != 1)
     {
         return rejection{error_kind::invalid_request, "no id, or not one host"};
     }
@@ -77,7 +77,7 @@
     }
     bool const needs_key =
         !admitted.table->configuration().customers.empty() && !admitted.route->is_public;
-    admitted.customer = needs_key ? admitted.table->find_customer(admitted.terms.key) : nullptr;
+    admitted.customer = needs_key ? admitted.table->find_customer(admitted.headers.key) : nullptr;
     if (needs_key && admitted.customer == nullptr)
     {
         return rejection{error_kind::unauthenticated, "unknown key"};
@@ -120,10 +120,10 @@
     core.metrics.add(forward_count::calls);
     admitted_call admitted;
     admitted.call = std::move(call);
-    admitted.terms = core.dialect.read_call(admitted.call.head);
+    admitted.headers = core.dialect.read_call(admitted.call.head);
     if (auto const away = resolve_call(core, admitted))
     {
-        core.log.write("call", "turned away", admitted.terms.id,
+        core.log.write("call", "turned away", admitted.headers.id,
                        {{"why", away->why},
                         {"status", state::answer_for(away->kind).status},
                         {"configuration",
@@ -135,8 +135,8 @@
         return nullptr;
     }
     admitted.request = request_digest_of(admitted);
-    admitted.demand = demand_of(admitted.terms);
-    state::duration const left = admitted.terms.time_left.value_or(admitted.route->timeout);
+    admitted.demand = demand_of(admitted.headers);
+    state::duration const left = admitted.headers.time_left.value_or(admitted.route->timeout);
     admitted.deadline = admitted.call.read_at + std::min(left, admitted.route->timeout);
     admitted.is_retry = core.detect_retry(admitted.route->name, left);
     bool const streams = admitted.route->kind == state::call_kind::streaming;
--- a/src/transport/caller_channel.cpp
+++ b/src/transport/caller_channel.cpp
@@ -113,7 +113,7 @@
         pending_ += "HTTP/1.1 100 Continue\r\n\r\n";
         write();
     }
-    if (progress == protocol::read_progress::whole)
+    if (progress == protocol::read_progress::complete)
     {
         begin_call();
     }
@@ -324,7 +324,7 @@
     }
 }
 
-void caller_channel::cut()
+void caller_channel::close_now()
 {
     close();
     handler_ = nullptr;
--- a/src/transport/caller_channel.hpp
+++ b/src/transport/caller_channel.hpp
@@ -68,7 +68,7 @@
 
     void start();
     /// \brief Closes at once, whatever is in progress.
-    void cut();
+    void close_now();
 
     // -- answers ------------------------------------------------------------
     /// \brief Sends a whole answer; fields that frame it are added.
--- a/src/transport/caller_session.cpp
+++ b/src/transport/caller_session.cpp
@@ -36,7 +36,7 @@
     caller_session(worker& caller_worker, session_context& context, tcp::socket socket)
         : own_worker_{caller_worker}, context_{context}, meter_{caller_worker.metrics()},
           socket_{std::move(socket)}, writer_{socket_.socket(),
-                                              {context.limits.buffer, context.limits.stalled},
+                                              {context.limits.buffer, context.limits.stall_timeout},
                                               *this},
           buffer_{context.limits.header + context.limits.body}
     {
@@ -57,7 +57,7 @@
                                 [self = shared_from_this()](error_code error, std::size_t bytes)
                                 {
                                     self->buffer_.commit(bytes);
-                                    error ? self->leave() : self->read_header();
+                                    error ? self->close_connection() : self->read_header();
                                 });
     }
 
@@ -78,7 +78,7 @@
 
     void deliver(coordination::send_token const& token) override
     {
-        meter_.token(now());
+        meter_.record_token(now());
         append_chunk(
             writer_.pending(),
             protocol::token_event({token.generation, token.upstream, token.index}, token.text));
@@ -88,7 +88,7 @@
 
     void deliver(coordination::send_finished const& finished) override
     {
-        meter_.whole(now());
+        meter_.record_whole(now());
         if (head_sent_)
         {
             append_chunk(writer_.pending(), protocol::done_event());
@@ -131,7 +131,7 @@
             error.category() == http::make_error_code(http::error::bad_method).category();
         if (!ours || error == http::error::end_of_stream || error == http::error::partial_message)
         {
-            return leave();
+            return close_connection();
         }
         ++own_worker_.metrics().counts.malformed;
         closing_ = true;
@@ -240,11 +240,11 @@
     {
         if (handle_)
         {
-            meter_.left(now());
+            meter_.record_disconnect(now());
             context_.requests.post(shard_, coordination::caller_disconnected{handle_});
             unregister_caller();
         }
-        leave();
+        close_connection();
     }
 
     // -- writing ------------------------------------------------------------------------------
@@ -257,7 +257,7 @@
         }
         if (blocked)
         {
-            ++own_worker_.metrics().counts.blocked;
+            ++own_worker_.metrics().counts.callers_blocked;
             return context_.requests.post(shard_, coordination::caller_blocked{handle_});
         }
         context_.requests.post(shard_, coordination::caller_ready{handle_});
@@ -296,7 +296,7 @@
 
     void refuse(protocol::error_details const& error)
     {
-        meter_.refused(error.kind, now());
+        meter_.record_refusal(error.kind, now());
         if (head_sent_)
         {
             append_chunk(writer_.pending(), protocol::error_event(error));
@@ -336,7 +336,7 @@
     {
         if (handle_)
         {
-            own_worker_.leave(std::exchange(handle_, state::caller_handle{}));
+            own_worker_.remove_caller(std::exchange(handle_, state::caller_handle{}));
         }
     }
 
@@ -356,10 +356,10 @@
         buffer_.clear();
         socket_.async_read_some(buffer_.prepare(initial_read_bytes),
                                 [self = shared_from_this()](error_code error, std::size_t)
-                                { error ? self->leave() : self->drop_input(); });
+                                { error ? self->close_connection() : self->drop_input(); });
     }
 
-    void leave()
+    void close_connection()
     {
         if (std::exchange(closed_, true))
         {
--- a/src/transport/caller_session.hpp
+++ b/src/transport/caller_session.hpp
@@ -29,7 +29,7 @@
     /// \brief How long a head, and then a body, may take from its first byte to its last.
     std::chrono::milliseconds read_timeout{10'000};
     /// \brief How long the caller may take nothing of what waits for it.
-    std::chrono::milliseconds stalled{60'000};
+    std::chrono::milliseconds stall_timeout{60'000};
 };
 
 /// \brief A plain page: health, metrics, operators' calls.
--- a/src/transport/caller_writer.cpp
+++ b/src/transport/caller_writer.cpp
@@ -82,7 +82,7 @@
     {
         return;
     }
-    stall_timer_.expires_after(limits_.stalled);
+    stall_timer_.expires_after(limits_.stall_timeout);
     stall_timer_.async_wait(
         [this, weak = std::weak_ptr{owner_.keep_alive()}, seen = write_count_](error_code error)
         {
--- a/src/transport/caller_writer.hpp
+++ b/src/transport/caller_writer.hpp
@@ -21,7 +21,7 @@
     /// \brief Bytes waiting above which the upstream should be paused.
     std::uint32_t buffer;
     /// \brief Longest time in which a caller may take nothing.
-    std::chrono::milliseconds stalled;
+    std::chrono::milliseconds stall_timeout;
 };
 
 /// \brief Told what becomes of what was written, on the connection's thread.
--- a/src/transport/configuration_exchange.cpp
+++ b/src/transport/configuration_exchange.cpp
@@ -51,7 +51,7 @@
     return offer;
 }
 
-void configuration_exchange::spread()
+void configuration_exchange::broadcast()
 {
     configuration_offer offer = offer_for(core_.former_version);
     offer.range.origin = core_.self;
--- a/src/transport/configuration_exchange.hpp
+++ b/src/transport/configuration_exchange.hpp
@@ -34,7 +34,7 @@
     configuration_exchange(forward_core& core, configuration_callbacks callbacks);
 
     /// \brief This VM read a newer configuration from the store: all are to have it.
-    void spread();
+    void broadcast();
     /// \brief Takes an offer and passes it on; `streams` is where its sender is asked.
     void receive_offer(std::span<char const> datagram, state::endpoint streams);
     /// \brief A peer follows `version`.
--- a/src/transport/daemon.cpp
+++ b/src/transport/daemon.cpp
@@ -151,7 +151,7 @@
         limits.buffer = settings_.caller_buffer;
         limits.keep_alive_timeout = milliseconds(settings_.idle_timeout);
         limits.read_timeout = milliseconds(settings_.request_timeout);
-        limits.stalled = 2 * milliseconds(settings_.node.slow_reader_time);
+        limits.stall_timeout = 2 * milliseconds(settings_.node.slow_reader_time);
         return limits;
     }
 
--- a/src/transport/fleet_exchange.cpp
+++ b/src/transport/fleet_exchange.cpp
@@ -139,8 +139,8 @@
 void fleet_exchange::process_update(fleet_update const& update, state::endpoint from)
 {
     core_.apply_evacuations(update.evacuations, part);
-    core_.quarantine.take(update.evidence);
-    core_.limits.take(update.limits);
+    core_.quarantine.apply_updates(update.evidence);
+    core_.limits.apply_updates(update.limits);
     apply_members(update);
     state::time_point const now = boot_now();
     // All entry VMs use the same ports.
@@ -150,8 +150,8 @@
         return;
     }
     exchange_evidence(update, from);
-    core_.ledger.take(update.sender, update.incarnation_number, update.sequence, update.whole,
-                      update.loads, now);
+    core_.ledger.apply_update(update.sender, update.incarnation_number, update.sequence,
+                              update.whole, update.loads, now);
     configurations_.note_peer_version(update.configuration);
 }
 
@@ -170,7 +170,7 @@
 
 void fleet_exchange::broadcast_configuration()
 {
-    configurations_.spread();
+    configurations_.broadcast();
 }
 
 std::string fleet_exchange::configuration_for(std::string_view target)
--- a/src/transport/fleet_exchange.hpp
+++ b/src/transport/fleet_exchange.hpp
@@ -76,7 +76,7 @@
     /// \brief Exchanges with a peer what is known of requests that end upstreams, where it differs.
     void exchange_evidence(coordination::fleet_update const& received, state::endpoint to);
     /// \brief Begins a message to all, along as many trees as make up for a lost datagram.
-    void spread(coordination::fleet_update& update);
+    void broadcast(coordination::fleet_update& update);
     /// \brief Sends upstreams and orders to the heads of a range, who pass them on.
     void forward_update(coordination::fleet_update const& from);
     [[nodiscard]] coordination::fleet_update make_update();
--- a/src/transport/fleet_exchange_sending.cpp
+++ b/src/transport/fleet_exchange_sending.cpp
@@ -155,14 +155,14 @@
     {
         fleet_update update;
         update.members.assign(part.begin(), part.end());
-        spread(update);
+        broadcast(update);
     }
 }
 
 void fleet_exchange::broadcast_evacuations()
 {
     fleet_update update;
-    spread(update);
+    broadcast(update);
 }
 
 void fleet_exchange::announce_evidence()
@@ -172,7 +172,7 @@
     {
         fleet_update update;
         update.evidence.assign(part.begin(), part.end());
-        spread(update);
+        broadcast(update);
     }
 }
 
@@ -183,7 +183,7 @@
     {
         fleet_update update;
         update.limits.assign(part.begin(), part.end());
-        spread(update);
+        broadcast(update);
     }
 }
 
@@ -225,14 +225,14 @@
     }
 }
 
-void fleet_exchange::spread(fleet_update& update)
+void fleet_exchange::broadcast(fleet_update& update)
 {
     bool const is_direct = broadcast_peers().size() <= max_direct_peers;
     update.range.origin = settings_.self.id;
     update.has_range = true;
     for (std::size_t tree = 0; tree < (is_direct ? 1 : trees_per_message); ++tree)
     {
-        update.spread = core_.random();
+        update.broadcast_id = core_.random();
         forward_update(update);
     }
 }
@@ -245,7 +245,7 @@
     }
     std::vector<broadcast_peer> const peers = broadcast_peers();
     for (broadcast_target const& target :
-         targets_of(from.range, from.spread, peers, fan_out_for(peers.size())))
+         targets_of(from.range, from.broadcast_id, peers, fan_out_for(peers.size())))
     {
         bool const has_rows =
             !from.members.empty() || !from.evidence.empty() || !from.limits.empty();
@@ -253,7 +253,7 @@
         update.members = from.members;
         update.evidence = from.evidence;
         update.limits = from.limits;
-        update.spread = from.spread;
+        update.broadcast_id = from.broadcast_id;
         update.range = target.subrange;
         update.has_range = target.has_subrange;
         send(update, std::array{target.to});
@@ -263,7 +263,7 @@
 void fleet_exchange::announce_loads()
 {
     std::vector<state::endpoint> const peers = recipients();
-    std::vector<state::member_key> const due = loads_.due(boot_now(), peers.size());
+    std::vector<state::member_key> const due = loads_.take_due(boot_now(), peers.size());
     if (due.empty())
     {
         return;
--- a/src/transport/forward_call.cpp
+++ b/src/transport/forward_call.cpp
@@ -271,20 +271,20 @@
 
 bool forward_call::has_mismatched_id() const
 {
-    return has_head_ && !answer_.id.empty() && answer_.id != admitted_.terms.id;
+    return has_head_ && !answer_.id.empty() && answer_.id != admitted_.headers.id;
 }
 
 bool forward_call::is_refused_by_upstream(exchange_end end) const
 {
-    return has_head_ && end == exchange_end::whole && (answer_.not_run || answer_.misdirected);
+    return has_head_ && end == exchange_end::complete && (answer_.not_run || answer_.misdirected);
 }
 
 // Upstreams that leave end their connections too, and that says nothing of what they ran.
 void forward_call::note_evidence(exchange_end end)
 {
-    request_attempt const attempt{admitted_.request, admitted_.terms.id};
+    request_attempt const attempt{admitted_.request, admitted_.headers.id};
     bool const is_own_answer = has_head_ && !has_mismatched_id() && !is_refused_by_upstream(end);
-    if (end == exchange_end::whole && is_own_answer)
+    if (end == exchange_end::complete && is_own_answer)
     {
         return core_.quarantine.answered(attempt);
     }
--- a/src/transport/forward_call.hpp
+++ b/src/transport/forward_call.hpp
@@ -24,7 +24,7 @@
 struct admitted_call
 {
     received_call call;
-    protocol::call_headers terms;
+    protocol::call_headers headers;
     /// \brief The configuration under which it was admitted.
     std::shared_ptr<coordination::routing_table const> table;
     state::route const* route = nullptr;
--- a/src/transport/forward_call_log.cpp
+++ b/src/transport/forward_call_log.cpp
@@ -26,7 +26,7 @@
     state::time_point const now = boot_now();
     coordination::directory_entry const* const entry = core_.directory.find(member_);
     core_.log.write(
-        "call", decision, admitted_.terms.id,
+        "call", decision, admitted_.headers.id,
         {{"why", why},
          {"request", protocol::to_hex(admitted_.request.value)},
          {"route", admitted_.route->name},
--- a/src/transport/forward_core.cpp
+++ b/src/transport/forward_core.cpp
@@ -221,7 +221,7 @@
 
 void forward_core::on_member_replaced(state::member_key member)
 {
-    directory.replaced(member, boot_now());
+    directory.mark_replaced(member, boot_now());
     pool.drop(member);
     health.forget(member);
     log.write(part, "upstream replaced", {}, {{"member", static_cast<std::int64_t>(member.value)}});
@@ -273,7 +273,7 @@
 
 void forward_core::apply_evacuations(state::evacuations const& received, std::string_view source)
 {
-    report_evacuations(directory.evacuations().take(received, boot_now()), source);
+    report_evacuations(directory.evacuations().merge(received, boot_now()), source);
 }
 
 void forward_core::apply_evacuation_changes(
@@ -299,7 +299,7 @@
 
 coordination::fleet_retry_budget& forward_core::retry_budget_of(std::string const& service)
 {
-    return retry_budgets_.try_emplace(service, settings.repeats).first->second;
+    return retry_budgets_.try_emplace(service, settings.retry_limit).first->second;
 }
 
 void forward_core::note_call(std::string const& service)
--- a/src/transport/forward_metrics.cpp
+++ b/src/transport/forward_metrics.cpp
@@ -76,7 +76,7 @@
     out.append(name).append("_count ").append(std::to_string(sum)).append("\n");
 }
 
-void forward_metrics::answered(state::duration time)
+void forward_metrics::record_answer_time(state::duration time)
 {
     answer_times_.add(time);
 }
--- a/src/transport/forward_metrics.hpp
+++ b/src/transport/forward_metrics.hpp
@@ -62,7 +62,7 @@
         return counts_[static_cast<std::size_t>(which)];
     }
     /// \brief Time from a call's head to its answer's end, or to a stream's first event.
-    void answered(state::duration time);
+    void record_answer_time(state::duration time);
     /// \brief Pause of a stream between two upstreams.
     void record_move_pause(state::duration pause);
     /// \brief Returns the page in Prometheus's text format.
--- a/src/transport/forwarder.cpp
+++ b/src/transport/forwarder.cpp
@@ -177,7 +177,7 @@
         }
         for (auto const& channel : open)
         {
-            channel->cut();
+            channel->close_now();
         }
         open.clear();
         context_.restart();
@@ -339,7 +339,7 @@
         {
             settings_.grace = read->grace;
             settings_.event_delay = read->event_delay;
-            settings_.repeats = read->repeats;
+            settings_.retry_limit = read->retry_limit;
         }
         log_.write(part, read ? "settings reloaded" : "settings not reloaded", {}, {});
     }
--- a/src/transport/limit_tracker.cpp
+++ b/src/transport/limit_tracker.cpp
@@ -40,7 +40,7 @@
     on_changed();
 }
 
-void limit_tracker::take(std::span<state::stated_limit const> received)
+void limit_tracker::apply_updates(std::span<state::stated_limit const> received)
 {
     for (state::stated_limit const& each : received)
     {
--- a/src/transport/limit_tracker.hpp
+++ b/src/transport/limit_tracker.hpp
@@ -26,7 +26,7 @@
     /// \brief An upstream answered this VM, and stated this limit or none.
     void answered(state::member_key member, std::optional<double> per_second);
     /// \brief Takes what a peer tells.
-    void take(std::span<state::stated_limit const> received);
+    void apply_updates(std::span<state::stated_limit const> received);
     /// \brief Does what is due.
     void sweep();
 
--- a/src/transport/metrics.cpp
+++ b/src/transport/metrics.cpp
@@ -165,12 +165,13 @@
     {"requests_total", &worker_counts::requests, "Requests of callers."},
     {"tokens_total", &worker_counts::tokens, "Tokens sent to callers."},
     {"sent_bytes_total", &worker_counts::bytes_sent, "Bytes sent to callers."},
-    {"answers_whole_total", &worker_counts::whole, "Answers that were sent whole."},
+    {"answers_whole_total", &worker_counts::answers_whole, "Answers that were sent whole."},
     {"callers_left_total", &worker_counts::callers_left, "Callers that left before the end."},
     {"malformed_total", &worker_counts::malformed, "Requests that were no valid HTTP."},
     {"upstream_streams_total", &worker_counts::streams_opened, "Exchanges opened with upstreams."},
     {"relays_total", &worker_counts::relays, "Requests passed to their owner."},
-    {"callers_blocked_total", &worker_counts::blocked, "Times that a caller read too slowly."},
+    {"callers_blocked_total", &worker_counts::callers_blocked,
+     "Times that a caller read too slowly."},
 }};
 
 std::uint64_t sum(std::span<worker_sample const> workers, count_member member)
--- a/src/transport/metrics.hpp
+++ b/src/transport/metrics.hpp
@@ -51,12 +51,12 @@
     std::uint64_t requests = 0;
     std::uint64_t tokens = 0;
     std::uint64_t bytes_sent = 0;
-    std::uint64_t whole = 0;
+    std::uint64_t answers_whole = 0;
     std::uint64_t callers_left = 0;
     std::uint64_t malformed = 0;
     std::uint64_t streams_opened = 0;
     std::uint64_t relays = 0;
-    std::uint64_t blocked = 0;
+    std::uint64_t callers_blocked = 0;
     std::int64_t connections = 0;
     std::array<std::uint64_t, static_cast<std::size_t>(state::error_kind::count)> refused{};
 };
--- a/src/transport/plain_call.cpp
+++ b/src/transport/plain_call.cpp
@@ -28,7 +28,7 @@
 
 void plain_call::answer_ended(exchange_end end)
 {
-    if (end != exchange_end::whole)
+    if (end != exchange_end::complete)
     {
         // One that ended with its connection may have been cut short: that can't be told apart.
         return retry_or_refuse(end == exchange_end::unconfirmed ? "answer of unknown length"
@@ -63,7 +63,7 @@
 void plain_call::deliver_answer()
 {
     core_.metrics.add(forward_count::answered);
-    core_.metrics.answered(boot_now() - admitted_.call.read_at);
+    core_.metrics.record_answer_time(boot_now() - admitted_.call.read_at);
     log("answered", {});
     bool const in_time = boot_now() - admitted_.call.read_at <= admitted_.route->target_latency;
     note_outcome(!is_success() ? coordination::call_outcome::failed
--- a/src/transport/quarantine_tracker.cpp
+++ b/src/transport/quarantine_tracker.cpp
@@ -44,7 +44,7 @@
     }
 }
 
-void quarantine_tracker::take(std::span<coordination::request_evidence const> received)
+void quarantine_tracker::apply_updates(std::span<coordination::request_evidence const> received)
 {
     for (coordination::request_evidence const& each : received)
     {
--- a/src/transport/quarantine_tracker.hpp
+++ b/src/transport/quarantine_tracker.hpp
@@ -35,7 +35,7 @@
     /// \brief An upstream answered the request whole.
     void answered(request_attempt const& attempt);
     /// \brief Takes what a peer tells.
-    void take(std::span<coordination::request_evidence const> received);
+    void apply_updates(std::span<coordination::request_evidence const> received);
     /// \brief Returns whether a request is refused now.
     [[nodiscard]] bool refuses(state::request_digest request);
     /// \brief Does what is due.
--- a/src/transport/relay_server.cpp
+++ b/src/transport/relay_server.cpp
@@ -139,7 +139,7 @@
             return; // A number is used once at a time.
         }
         auto sink = std::make_shared<relay_answer_sink>(
-            link_, exchange, [this](std::uint64_t ended) { leave(ended); });
+            link_, exchange, [this](std::uint64_t ended) { end_relay(ended); });
         state::caller_handle const caller = server_.own_worker_.add_caller(std::move(sink));
         std::uint32_t const shard = server_.requests_.receive(
             {caller, std::move(request), relaying_node()}, server_.own_worker_.index());
@@ -162,7 +162,7 @@
         if (event == caller_event::disconnected)
         {
             server_.requests_.post(each.shard, coordination::caller_disconnected{each.caller});
-            return leave(exchange);
+            return end_relay(exchange);
         }
         each.peer_blocked = event == caller_event::blocked;
         post_caller_state(each, each.peer_blocked || link_blocked_);
@@ -208,11 +208,11 @@
         server_.content_.request(wanted, answer);
     }
 
-    void leave(std::uint64_t exchange)
+    void end_relay(std::uint64_t exchange)
     {
         if (auto const found = relays_.find(exchange); found != relays_.end())
         {
-            server_.own_worker_.leave(found->second.caller);
+            server_.own_worker_.remove_caller(found->second.caller);
             relays_.erase(found);
         }
     }
@@ -222,7 +222,7 @@
         for (auto const& [exchange, each] : relays_)
         {
             server_.requests_.post(each.shard, coordination::caller_disconnected{each.caller});
-            server_.own_worker_.leave(each.caller);
+            server_.own_worker_.remove_caller(each.caller);
         }
         relays_.clear();
         net::post(server_.own_worker_.context(), [&server = server_, session_id = session_id_]
--- a/src/transport/store_reader.cpp
+++ b/src/transport/store_reader.cpp
@@ -123,7 +123,7 @@
 {
     is_published_ = false;
     schedule_step(core_.is_seed ? unpublished_seed_retry_delay
-                                : spread(unpublished_peer_retry_delay));
+                                : with_jitter(unpublished_peer_retry_delay));
 }
 
 void store_reader::log_role_change(bool has_reader_role)
@@ -214,7 +214,7 @@
     {
         return state::failure{};
     }
-    auto page = core_.dialect.read_list(answer.value().body);
+    auto page = core_.dialect.read_page(answer.value().body);
     if (page)
     {
         if (consistency == protocol::read_consistency::current)
@@ -255,7 +255,7 @@
     core_.is_active_reader = core_.fleet.is_reader();
 }
 
-state::duration store_reader::spread(state::duration time)
+state::duration store_reader::with_jitter(state::duration time)
 {
     std::uniform_int_distribution<state::duration::rep> of{time.count() / 2, time.count()};
     return state::duration{of(core_.random)};
@@ -279,7 +279,7 @@
             {{"call", what},
              {"detail", answer ? std::to_string(answer.value().status) : answer.error().detail}});
     }
-    schedule_step(spread(retry_delay_));
+    schedule_step(with_jitter(retry_delay_));
     auto const sharing = static_cast<std::int64_t>(
         std::max<std::size_t>(1, other_requesters() / max_full_rate_requesters));
     retry_delay_ = std::min({retry_delay_ * 2, max_retry_delay * sharing, max_shared_retry_delay});
@@ -360,7 +360,7 @@
          [this, consistency, on_not_newer](state::result<fetch_answer> const& answer)
          {
              auto const page = is_success(answer)
-                                   ? core_.dialect.read_list(answer.value().body)
+                                   ? core_.dialect.read_page(answer.value().body)
                                    : state::result<protocol::store_page>{state::failure{}};
              bool const is_newer =
                  page && core_.apply_configuration(page.value().configuration, part);
--- a/src/transport/store_reader.hpp
+++ b/src/transport/store_reader.hpp
@@ -90,7 +90,7 @@
     parse_page(state::result<fetch_answer> const& answer, protocol::read_consistency consistency);
     void log_role_change(bool has_reader_role);
     void succeeded(protocol::read_consistency consistency);
-    [[nodiscard]] state::duration spread(state::duration time);
+    [[nodiscard]] state::duration with_jitter(state::duration time);
     [[nodiscard]] std::size_t other_requesters() const;
     void failed(std::string_view what, state::result<fetch_answer> const& answer);
 
--- a/src/transport/stream_call.cpp
+++ b/src/transport/stream_call.cpp
@@ -45,7 +45,7 @@
                                    ? *admitted_.customer->priority
                                    : admitted_.route->priority;
     terms.priority = std::min(rank, least_urgent);
-    terms.resumed = resume_from_;
+    terms.resume_from = resume_from_;
     terms.backup = backup_address_;
     return terms;
 }
@@ -92,7 +92,7 @@
     protocol::message_head const first = head_;
     forward_call::on_head(head, framing);
     failure_body_.clear();
-    bool const is_own = answer_.id.empty() || answer_.id == admitted_.terms.id;
+    bool const is_own = answer_.id.empty() || answer_.id == admitted_.headers.id;
     streaming_ = head.status == success && answer_.is_signed && !answer_.encoded && is_own;
     if (begun_)
     {
@@ -145,7 +145,7 @@
         resuming_ = false;
         core_.metrics.add(forward_count::resumed);
         core_.metrics.record_move_pause(now - last_progress_);
-        core_.log.write("call", "resumed", admitted_.terms.id,
+        core_.log.write("call", "resumed", admitted_.headers.id,
                         {{"upstream", member_name()},
                          {"pause_ms", whole_milliseconds(now - last_progress_)},
                          {"after_event", static_cast<std::int64_t>(last_event_id_)}});
@@ -200,7 +200,7 @@
     if (!begun_)
     {
         begun_ = true;
-        core_.metrics.answered(boot_now() - admitted_.call.read_at);
+        core_.metrics.record_answer_time(boot_now() - admitted_.call.read_at);
         channel_->begin(head_.status, head_.reason, answer_fields());
     }
 }
@@ -245,12 +245,13 @@
     }
     state::time_point const now = boot_now();
     failover_actions actions;
-    if (end == exchange_end::whole && streaming_)
+    if (end == exchange_end::complete && streaming_)
     {
         return complete_stream();
     }
-    bool const not_run = end == exchange_end::unreachable || end == exchange_end::not_sent ||
-                         (end == exchange_end::whole && (answer_.not_run || answer_.misdirected));
+    bool const not_run =
+        end == exchange_end::unreachable || end == exchange_end::not_sent ||
+        (end == exchange_end::complete && (answer_.not_run || answer_.misdirected));
     core_.metrics.add(forward_count::resume_refused);
     log("resumption failed", not_run ? "not run" : "broke");
     close_exchange();
@@ -260,11 +261,11 @@
 
 void stream_call::answer_ended(exchange_end end)
 {
-    if (end == exchange_end::whole && streaming_)
+    if (end == exchange_end::complete && streaming_)
     {
         return complete_stream();
     }
-    if (end == exchange_end::whole && !begun_ && head_.status != success)
+    if (end == exchange_end::complete && !begun_ && head_.status != success)
     {
         core_.health.note(member_, call_result::failed, boot_now());
         log("answered", "failed at the upstream");
@@ -308,7 +309,7 @@
 void stream_call::log_timing()
 {
     core_.log.write(
-        "call", "answered", admitted_.terms.id,
+        "call", "answered", admitted_.headers.id,
         {{"upstream", member_name()},
          {"request", protocol::to_hex(admitted_.request.value)},
          {"route", admitted_.route->name},
--- a/src/transport/stream_failover.cpp
+++ b/src/transport/stream_failover.cpp
@@ -69,7 +69,7 @@
     copy_schedule const times =
         schedule_copies(when, *admitted_.service->engine, fleet.tokens, fleet.calls);
     state::time_point const now = boot_now();
-    core_.log.write("call", "upstream leaves", admitted_.terms.id,
+    core_.log.write("call", "upstream leaves", admitted_.headers.id,
                     {{"upstream", member_name()},
                      {"learnt_ms_ago", whole_milliseconds(now - when.learnt_at)},
                      {"leaves_in_ms", when.leaves_at ? whole_milliseconds(*when.leaves_at - now)
@@ -248,7 +248,7 @@
     }
     reserve_for_copy(action.destination);
     protocol::upstream_request wanted =
-        core_.dialect.copy_request(admitted_.terms.id, destination->info.address, action.last);
+        core_.dialect.copy_request(admitted_.headers.id, destination->info.address, action.last);
     fetch_request request;
     request.address = source->info.address;
     request.method = std::move(wanted.method);
@@ -308,7 +308,7 @@
     }
     close_exchange();
     resume_from_ = protocol::resume_point{
-        holder->info.address, action.handle.empty() ? admitted_.terms.id : action.handle,
+        holder->info.address, action.handle.empty() ? admitted_.headers.id : action.handle,
         last_event_id_};
     events_ = {};
     drop_load(copy_load_);
@@ -331,7 +331,7 @@
     request.method = std::move(wanted.method);
     request.target = std::move(wanted.target);
     fetch(core_.context, std::move(request),
-          [&log = core_.log, id = admitted_.terms.id](state::result<fetch_answer> const& answer)
+          [&log = core_.log, id = admitted_.headers.id](state::result<fetch_answer> const& answer)
           {
               // The copy is freed by its lifetime otherwise.
               if (!answer)
--- a/src/transport/upstream_exchange.cpp
+++ b/src/transport/upstream_exchange.cpp
@@ -114,7 +114,7 @@
 {
     if (bytes > 0)
     {
-        take({buffer_.data(), bytes});
+        append_bytes({buffer_.data(), bytes});
     }
     if (sink_ == nullptr)
     {
@@ -125,7 +125,7 @@
         return read();
     }
     bool const in_order = error == net::error::eof;
-    if (in_order && reader_.append_eof() == protocol::read_progress::whole)
+    if (in_order && reader_.append_eof() == protocol::read_progress::complete)
     {
         report_progress();
         if (sink_ != nullptr)
@@ -139,10 +139,10 @@
     finish(by_upstream ? exchange_end::broken : exchange_end::invalid_or_lost);
 }
 
-void upstream_exchange::take(std::string_view bytes)
+void upstream_exchange::append_bytes(std::string_view bytes)
 {
     reader_.append(bytes);
-    while (reader_.progress() == protocol::read_progress::whole &&
+    while (reader_.progress() == protocol::read_progress::complete &&
            reader_.head().status < first_final_status)
     {
         // An interim answer; the final one follows.
@@ -155,16 +155,16 @@
     {
         return finish(exchange_end::invalid_or_lost);
     }
-    if (sink_ != nullptr && reader_.progress() == protocol::read_progress::whole)
+    if (sink_ != nullptr && reader_.progress() == protocol::read_progress::complete)
     {
-        finish(exchange_end::whole);
+        finish(exchange_end::complete);
     }
 }
 
 void upstream_exchange::report_progress()
 {
     using enum protocol::read_progress;
-    bool const has_head = reader_.progress() == body || reader_.progress() == whole;
+    bool const has_head = reader_.progress() == body || reader_.progress() == complete;
     if (has_head && !head_reported_)
     {
         head_reported_ = true;
@@ -185,7 +185,7 @@
     timer_.cancel();
     // Bytes behind the answer belong to no call, and an upstream that answered before it read the
     // whole body still reads: neither connection may carry another call.
-    bool const reusable = end == exchange_end::whole && options_.keep && written_ && !closes_ &&
+    bool const reusable = end == exchange_end::complete && options_.keep && written_ && !closes_ &&
                           reader_.unconsumed().empty();
     if (reusable)
     {
--- a/src/transport/upstream_exchange.hpp
+++ b/src/transport/upstream_exchange.hpp
@@ -23,7 +23,7 @@
 /// \brief How an exchange ended.
 enum class exchange_end : std::uint8_t
 {
-    whole,           ///< The answer ended as its framing says.
+    complete,        ///< The answer ended as its framing says.
     unconfirmed,     ///< It ended with the connection, in order; a break can look the same.
     unreachable,     ///< No connection: nothing was sent.
     not_sent,        ///< `exchange_sink::request` declined: nothing was sent.
@@ -96,7 +96,7 @@
     void send();
     void read();
     void on_read(boost::system::error_code error, std::size_t bytes);
-    void take(std::string_view bytes);
+    void append_bytes(std::string_view bytes);
     void report_progress();
     void finish(exchange_end end);
 
--- a/src/transport/worker.cpp
+++ b/src/transport/worker.cpp
@@ -50,7 +50,7 @@
     return caller;
 }
 
-void worker::leave(state::caller_handle caller)
+void worker::remove_caller(state::caller_handle caller)
 {
     callers_.erase(caller);
 }
--- a/src/transport/worker.hpp
+++ b/src/transport/worker.hpp
@@ -56,7 +56,7 @@
     /// \brief Enters a caller; returns its handle. On this worker's thread.
     [[nodiscard]] state::caller_handle add_caller(std::shared_ptr<answer_sink> sink);
     /// \brief Forgets a caller. On this worker's thread.
-    void leave(state::caller_handle caller);
+    void remove_caller(state::caller_handle caller);
     /// \brief Returns the caller, or null when it has left. On this worker's thread.
     [[nodiscard]] std::shared_ptr<answer_sink> find(state::caller_handle caller) const;
 
--- a/tests/coordination/test_cold_upstream_limiter.cpp
+++ b/tests/coordination/test_cold_upstream_limiter.cpp
@@ -92,7 +92,7 @@
             std::string const zone(1, static_cast<char>('a' + upstream % 4));
             fleet.back()->list("i-" + std::to_string(upstream), zone, zone == "a" ? 0 : 9'000);
         }
-        fleet.back()->directory.evacuations().take({5, {{evacuated_zone, 5}}}, began - 5s);
+        fleet.back()->directory.evacuations().merge({5, {{evacuated_zone, 5}}}, began - 5s);
         fleet.back()->directory.mark_complete();
     }
     return fleet;
@@ -146,7 +146,7 @@
         fleet_of_vms fleet = loaded_fleet(vms);
         for (auto const& vm : fleet)
         {
-            vm->directory.evacuations().take({9, {}}, began);
+            vm->directory.evacuations().merge({9, {}}, began);
         }
         std::size_t const most = max_arrivals_per_second(fleet, 1'200, limits.time);
         CAPTURE(vms);
@@ -161,7 +161,7 @@
     fleet_of_vms fleet = loaded_fleet(300);
     for (auto const& vm : fleet)
     {
-        vm->directory.evacuations().take({6, {}}, began - 4s);
+        vm->directory.evacuations().merge({6, {}}, began - 4s);
         for (auto const& [key, entry] : vm->directory.entries())
         {
             if (entry.info.zone == "a")
@@ -180,7 +180,7 @@
     fleet_of_vms fleet = loaded_fleet(300);
     for (std::size_t i = 0; i < fleet.size(); ++i)
     {
-        fleet[i]->directory.evacuations().take({9, {}}, began);
+        fleet[i]->directory.evacuations().merge({9, {}}, began);
         // Silent for a minute: still counted as sharing.
         fleet[i]->fleet.forget_silent(began + 60s);
     }
--- a/tests/coordination/test_evacuation_orders.cpp
+++ b/tests/coordination/test_evacuation_orders.cpp
@@ -41,11 +41,11 @@
     {
         return directory.may_take_work(*directory.find(state::key_of(name, {})), now);
     };
-    directory.evacuations().take({7, {{east, 7}}}, now);
+    directory.evacuations().merge({7, {{east, 7}}}, now);
     CHECK_FALSE(takes_work("i-1"));
     CHECK(takes_work("i-2"));
     CHECK_FALSE(directory.is_wholly_evacuated("lists", now));
-    directory.evacuations().take({9, {}}, now);
+    directory.evacuations().merge({9, {}}, now);
     CHECK(takes_work("i-1"));
     CHECK(directory.evacuations().ended_at(east) == now);
 }
@@ -54,7 +54,7 @@
 TEST_CASE("a service all of whose zones are evacuated is known as such", "[evacuation_orders]")
 {
     service_directory directory;
-    directory.evacuations().take({7, {{east, 6}, {west, 7}}}, now);
+    directory.evacuations().merge({7, {{east, 6}, {west, 7}}}, now);
     CHECK_FALSE(directory.is_wholly_evacuated("lists", now));
     directory.merge(upstream("i-1", "east"), now);
     directory.merge(upstream("i-2", "west"), now);
@@ -74,12 +74,12 @@
 TEST_CASE("an order that was taken back never returns by an old message", "[evacuation_orders]")
 {
     evacuation_orders cut_off;
-    cut_off.take({5, {{east, 5}}}, now);
+    cut_off.merge({5, {{east, 5}}}, now);
     evacuation_orders others;
-    others.take({8, {}}, now);
-    CHECK(others.take(cut_off.known(), now).empty());
+    others.merge({8, {}}, now);
+    CHECK(others.merge(cut_off.known(), now).empty());
     CHECK_FALSE(others.covers(east));
-    REQUIRE(cut_off.take(others.known(), now).size() == 1);
+    REQUIRE(cut_off.merge(others.known(), now).size() == 1);
     CHECK_FALSE(cut_off.covers(east));
 }
 
@@ -87,7 +87,7 @@
 TEST_CASE("a watch that is behind a peer's word undoes nothing", "[evacuation_orders]")
 {
     evacuation_orders orders;
-    orders.take({20, {{east, 20}}}, now);
+    orders.merge({20, {{east, 20}}}, now);
     std::array const late{state::evacuation_change{{east, 12}, false},
                           state::evacuation_change{{east, 15}, true}};
     CHECK(orders.apply_changes(late, 18, now).empty());
@@ -138,7 +138,7 @@
         evacuation_orders orders;
         for (state::evacuations const& each : heard)
         {
-            orders.take(each, now);
+            orders.merge(each, now);
         }
         REQUIRE(orders.known().in_force == told.back().in_force);
     }
--- a/tests/coordination/test_fleet_view.cpp
+++ b/tests/coordination/test_fleet_view.cpp
@@ -86,7 +86,7 @@
     state::time_point const now{10s};
     CHECK(fleet.readers(now).size() == 9);
     send_all_updates(fleet, 9, now);
-    CHECK(fleet.readers(now).size() == fleet_view::readers);
+    CHECK(fleet.readers(now).size() == fleet_view::reader_count);
 }
 
 // A key is revoked while the store turns both readers away. They know at once that they can't read;
@@ -104,7 +104,7 @@
     }
     std::vector<std::uint64_t> const after = fleet.readers(now + 10ms);
     // Those before go on trying.
-    CHECK(after.size() == 2 * fleet_view::readers);
+    CHECK(after.size() == 2 * fleet_view::reader_count);
 }
 
 TEST_CASE("readers that fall silent are replaced before a configuration is due", "[fleet_view]")
@@ -123,7 +123,7 @@
             fleet.send_update(node, UINT32_MAX, later);
         }
     }
-    CHECK(fleet.readers(later).size() > fleet_view::readers);
+    CHECK(fleet.readers(later).size() > fleet_view::reader_count);
 }
 
 TEST_CASE("a newer configuration is asked of different peers", "[fleet_view]")
@@ -328,11 +328,11 @@
     timed_fleet fleet{large_fleet_size, 5};
     fleet.lost_of_thousand = 50;
     fleet.run(8s);
-    REQUIRE(fleet.readers().size() == fleet_view::readers);
+    REQUIRE(fleet.readers().size() == fleet_view::reader_count);
     fleet.reader_starts = 0;
     fleet.run(15s);
     CHECK(fleet.reader_starts <= 2);
-    CHECK(fleet.readers().size() == fleet_view::readers);
+    CHECK(fleet.readers().size() == fleet_view::reader_count);
 }
 
 // Both readers lose power. Callers' new keys are refused until somebody reads on, and the store is
@@ -349,10 +349,10 @@
         }
         fleet.reader_starts = 0;
         fleet.run(2'600ms);
-        CHECK(fleet.readers().size() >= fleet_view::readers);
+        CHECK(fleet.readers().size() >= fleet_view::reader_count);
         fleet.run(5s);
         CHECK(fleet.reader_starts <= 8);
-        CHECK(fleet.readers().size() == fleet_view::readers);
+        CHECK(fleet.readers().size() == fleet_view::reader_count);
     }
 }
 
@@ -375,7 +375,7 @@
         CHECK(fleet.reader_starts <= 20);
         fleet.partition_at(0);
         fleet.run(10s);
-        CHECK(fleet.readers().size() == fleet_view::readers);
+        CHECK(fleet.readers().size() == fleet_view::reader_count);
     }
 }
 
@@ -399,7 +399,7 @@
         }
     }
     fleet.run(6s);
-    CHECK(fleet.readers().size() == fleet_view::readers);
+    CHECK(fleet.readers().size() == fleet_view::reader_count);
 }
 
 // All reach the store again as it returns; until then few ask it, not all 300.
@@ -413,7 +413,7 @@
     CHECK(fleet.reader_starts <= 120);
     fleet.store_is_down = false;
     fleet.run(10s);
-    CHECK(fleet.readers().size() == fleet_view::readers);
+    CHECK(fleet.readers().size() == fleet_view::reader_count);
 }
 
 // A reader's message tells of a directory that this VM had a moment ago: the change is on its way
--- a/tests/coordination/test_load_ledger.cpp
+++ b/tests/coordination/test_load_ledger.cpp
@@ -28,12 +28,12 @@
     state::time_point const now{10s};
     ledger.add(upstream, load_of(1, 3'000));
     std::vector<member_load> const told{load_of(2, 5'000)};
-    ledger.take(peer, first_uptime, 1, true, told, now);
+    ledger.apply_update(peer, first_uptime, 1, true, told, now);
     CHECK(ledger.total(upstream) == member_load{upstream, 3, 8'000, 9'000, 8'000});
 
     ledger.remove(upstream, load_of(1, 3'000));
     CHECK(ledger.total(upstream).calls == 2);
-    ledger.take(peer, first_uptime, 2, true, {}, now);
+    ledger.apply_update(peer, first_uptime, 2, true, {}, now);
     CHECK(ledger.total(upstream).calls == 0);
 }
 
@@ -45,8 +45,8 @@
     state::time_point const now{10s};
     std::vector<member_load> const started{load_of(1, 3'000)};
     std::vector<member_load> const ended{load_of(0, 0)};
-    ledger.take(peer, first_uptime, 6, false, ended, now);
-    ledger.take(peer, first_uptime, 5, false, started, now);
+    ledger.apply_update(peer, first_uptime, 6, false, ended, now);
+    ledger.apply_update(peer, first_uptime, 5, false, started, now);
     CHECK(ledger.total(upstream).calls == 0);
 }
 
@@ -55,8 +55,8 @@
     load_ledger ledger;
     state::time_point const now{10s};
     std::vector<member_load> const told{load_of(2, 5'000)};
-    ledger.take(peer, first_uptime, 900, true, told, now);
-    ledger.take(peer, state::incarnation{50}, 1, false, {}, now);
+    ledger.apply_update(peer, first_uptime, 900, true, told, now);
+    ledger.apply_update(peer, state::incarnation{50}, 1, false, {}, now);
     CHECK(ledger.total(upstream).calls == 0);
 }
 
@@ -67,7 +67,7 @@
     load_ledger ledger;
     state::time_point const now{10s};
     std::vector<member_load> const told{load_of(2, 5'000)};
-    ledger.take(peer, first_uptime, 1, true, told, now);
+    ledger.apply_update(peer, first_uptime, 1, true, told, now);
     ledger.forget_silent(now + 1s, 3500ms);
     CHECK(ledger.total(upstream).calls == 2);
     ledger.forget_silent(now + 3501ms, 3500ms);
--- a/tests/coordination/test_load_update_queue.cpp
+++ b/tests/coordination/test_load_update_queue.cpp
@@ -29,8 +29,8 @@
     news.push(first);
     news.push(second);
     news.push(first);
-    CHECK(news.due(now, peers) == std::vector<state::member_key>{first, second});
-    CHECK(news.due(now + 1s, peers).empty());
+    CHECK(news.take_due(now, peers) == std::vector<state::member_key>{first, second});
+    CHECK(news.take_due(now + 1s, peers).empty());
 }
 
 // Two entry VMs choose the upstream that has just come. If the second hears of the first one's
@@ -42,7 +42,7 @@
     for (int i = 0; i < 4; ++i)
     {
         news.push(first);
-        CHECK(news.due(now + i * 1ms, peers).size() == 1);
+        CHECK(news.take_due(now + i * 1ms, peers).size() == 1);
     }
 }
 
@@ -55,13 +55,13 @@
     for (int i = 0; i < 50; ++i)
     {
         news.push(state::member_key{static_cast<std::uint64_t>(i)});
-        told += news.due(now, peers).size();
+        told += news.take_due(now, peers).size();
     }
     CHECK(told < 5);
-    CHECK(news.due(now + 3s, peers).size() == load_update_queue::max_rows);
+    CHECK(news.take_due(now + 3s, peers).size() == load_update_queue::max_rows);
     // That cost three bursts, which come back in six seconds.
-    CHECK(news.due(now + 4s, peers).empty());
-    CHECK(news.due(now + 12s, peers).size() == 50 - told - load_update_queue::max_rows);
+    CHECK(news.take_due(now + 4s, peers).empty());
+    CHECK(news.take_due(now + 12s, peers).size() == 50 - told - load_update_queue::max_rows);
 }
 
 // Load pattern: each entry VM of 9, 91 and 380 begins and ends 17 generations a second, its part of
@@ -79,7 +79,7 @@
         {
             auto const count = static_cast<std::uint64_t>(step);
             news.push(state::member_key{count % 97});
-            auto const told = news.due(now + step * 10ms, fleet - 1);
+            auto const told = news.take_due(now + step * 10ms, fleet - 1);
             messages += told.empty() ? 0 : 1;
             bytes += told.empty() ? 0.0 : bytes_of(told.size(), fleet - 1);
         }
--- a/tests/coordination/test_store_position_tracker.cpp
+++ b/tests/coordination/test_store_position_tracker.cpp
@@ -53,9 +53,9 @@
 {
     constexpr auto east = state::id_from_name<state::zone_id>("east");
     evacuation_orders orders;
-    orders.take({state::store_position{1, 50}.value(), {{east, 45}}}, {});
-    orders.take({state::store_position{2, 40}.value(), {}}, {});
+    orders.merge({state::store_position{1, 50}.value(), {{east, 45}}}, {});
+    orders.merge({state::store_position{2, 40}.value(), {}}, {});
     CHECK(orders.covers(east));
-    orders.take({state::store_position{2, 41}.value(), {}}, {});
+    orders.merge({state::store_position{2, 41}.value(), {}}, {});
     CHECK_FALSE(orders.covers(east));
 }
--- a/tests/platform/forward_fixture.cpp
+++ b/tests/platform/forward_fixture.cpp
@@ -37,7 +37,7 @@
     settings.name = "vm";
     settings.zone = "a";
     settings.datagrams = {0x7f000001, 7200};
-    settings.repeats = {0.2, 50.0, std::chrono::seconds{10}};
+    settings.retry_limit = {0.2, 50.0, std::chrono::seconds{10}};
     return settings;
 }
 
@@ -49,8 +49,7 @@
 
 } // namespace
 
-// -- scripted_connection
-// ----------------------------------------------------------------------------
+// -- scripted_connection --------------------------------------------------------------------------
 
 void scripted_connection::read()
 {
@@ -86,8 +85,7 @@
     socket_.close(ignored);
 }
 
-// -- scripted_upstream
-// ------------------------------------------------------------------------------
+// -- scripted_upstream ----------------------------------------------------------------------------
 
 scripted_upstream::scripted_upstream(net::io_context& context, std::string name, std::string zone)
     : name_{std::move(name)}, zone_{std::move(zone)},
@@ -137,8 +135,7 @@
     return found;
 }
 
-// -- forward_fixture
-// --------------------------------------------------------------------------------
+// -- forward_fixture ------------------------------------------------------------------------------
 
 forward_fixture::forward_fixture(int engines)
     : settings{fixture_settings()}, log{null_descriptor(), "vm"}, core{context, settings, dialect,
@@ -162,7 +159,7 @@
 {
     for (auto const& channel : channels_)
     {
-        channel->cut();
+        channel->close_now();
     }
     context.restart();
     context.poll();
--- a/tests/platform/test_dialect.cpp
+++ b/tests/platform/test_dialect.cpp
@@ -107,7 +107,7 @@
     protocol::system_headers headers;
     headers.time_left = 1s;
     headers.member = "i-8";
-    headers.resumed = protocol::resume_point{{0x0a000001, 80}, "h-9", 41};
+    headers.resume_from = protocol::resume_point{{0x0a000001, 80}, "h-9", 41};
     headers.backup = state::endpoint{0x0a000002, 81};
     protocol::message_head head = call_head();
     head.fields.push_back({"Last-Event-Id", "7"});
--- a/tests/platform/test_evacuations.cpp
+++ b/tests/platform/test_evacuations.cpp
@@ -39,7 +39,7 @@
 TEST_CASE("an order whose value can't be read is an order all the same", "[evacuation]")
 {
     platform::platform_dialect const dialect;
-    auto const page = dialect.read_list(
+    auto const page = dialect.read_page(
         R"({"items":[{"key":"op/evacuate/east","value":"%%%","revision":7},)"
         R"({"key":"op/evacuate/west","revision":9},{"key":"op/evacuate/","revision":10}],)"
         R"("hasMore":false,"atRev":12})");
@@ -74,7 +74,7 @@
         R"({"version":7,"services":[{"name":"s","coldPerS":35,"coldStartS":1.5}]})";
     for (std::uint64_t seed = 1; seed <= 2'000; ++seed)
     {
-        if (auto const read = dialect.read_list(mutate(page, seed)))
+        if (auto const read = dialect.read_page(mutate(page, seed)))
         {
             for (protocol::evacuation_order const& each : read.value().orders)
             {
--- a/tests/platform/test_store_entries.cpp
+++ b/tests/platform/test_store_entries.cpp
@@ -49,7 +49,7 @@
 protocol::store_page page_of(json::array items)
 {
     json::object const body{{"items", std::move(items)}, {"hasMore", false}, {"atRev", 40}};
-    auto page = platform::platform_dialect{}.read_list(json::serialize(body));
+    auto page = platform::platform_dialect{}.read_page(json::serialize(body));
     REQUIRE(page);
     return std::move(page.value());
 }
--- a/tests/platform/test_store_reader.cpp
+++ b/tests/platform/test_store_reader.cpp
@@ -109,7 +109,7 @@
     std::map<scripted_connection*, std::size_t> answer_counts;
 };
 
-std::string found(std::string_view body)
+std::string ok_answer(std::string_view body)
 {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
            std::string{body};
@@ -119,9 +119,9 @@
 std::string operator_entries_page(std::string_view orders, std::uint64_t revision)
 {
     // {"version":3}
-    return found(R"({"items":[{"key":"op/config","value":"eyJ2ZXJzaW9uIjozfQ==","revision":2})" +
-                 std::string{orders} + R"(],"hasMore":false,"atRev":)" + std::to_string(revision) +
-                 "}");
+    return ok_answer(
+        R"({"items":[{"key":"op/config","value":"eyJ2ZXJzaW9uIjozfQ==","revision":2})" +
+        std::string{orders} + R"(],"hasMore":false,"atRev":)" + std::to_string(revision) + "}");
 }
 
 constexpr std::string_view east_at_5 = R"(,{"key":"op/evacuate/east","value":"","revision":5})";
@@ -196,7 +196,7 @@
         }
         if (contains(request, "prefix=servers"))
         {
-            return found(R"({"items":[],"hasMore":false,"atRev":4})");
+            return ok_answer(R"({"items":[],"hasMore":false,"atRev":4})");
         }
         return std::string{"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"};
     };
@@ -223,14 +223,14 @@
         }
         if (contains(request, "prefix=servers"))
         {
-            return found(R"({"items":[],"hasMore":false,"atRev":4})");
+            return ok_answer(R"({"items":[],"hasMore":false,"atRev":4})");
         }
         ++watches;
         std::string_view const given =
             R"({"events":[{"key":"op/evacuate/east","value":"","revision":5}],"atRev":5})";
         std::string_view const back =
             R"({"events":[{"key":"op/evacuate/east","revision":8,"deleted":true}],"atRev":8})";
-        return found(watches == 1 ? given : watches == 2 ? back : R"({"events":[],"atRev":8})");
+        return ok_answer(watches == 1 ? given : watches == 2 ? back : R"({"events":[],"atRev":8})");
     };
     auto const run_until = [&vm](auto const& condition)
     {
@@ -275,9 +275,9 @@
             std::string const items = contains(request, allow_stale)
                                           ? item("i-1", 1)
                                           : item("i-1", 1) + "," + item("i-2", 4);
-            return found(R"({"items":[)" + items + R"(],"hasMore":false,"atRev":4})");
+            return ok_answer(R"({"items":[)" + items + R"(],"hasMore":false,"atRev":4})");
         }
-        return found(R"({"events":[],"atRev":4})");
+        return ok_answer(R"({"events":[],"atRev":4})");
     };
     for (int round = 0; round < 100 && vm.core.directory.entries().size() < 2; ++round)
     {
--- a/tests/protocol/test_forward_settings.cpp
+++ b/tests/protocol/test_forward_settings.cpp
@@ -40,8 +40,8 @@
     REQUIRE(errors.empty());
     CHECK(settings.grace == 8s);
     CHECK(settings.load_news_bytes_per_second == 30'000.0);
-    CHECK(settings.repeats.ratio == 0.2);
-    CHECK(settings.repeats.window == 10s);
+    CHECK(settings.retry_limit.ratio == 0.2);
+    CHECK(settings.retry_limit.window == 10s);
     // Seeds are named by another port of theirs; all VMs hear datagrams on the same one.
     CHECK(settings.seeds == std::vector{state::endpoint{0x0a000002, 7200}});
 }
--- a/tests/protocol/test_http_reader.cpp
+++ b/tests/protocol/test_http_reader.cpp
@@ -41,7 +41,7 @@
     for (std::size_t size = 1; size <= text.size(); ++size)
     {
         http_reader reader = read_in_pieces(text, size);
-        REQUIRE(reader.progress() == read_progress::whole);
+        REQUIRE(reader.progress() == read_progress::complete);
         CHECK(reader.head().method == "POST");
         CHECK(reader.head().target == "/a/b?c=d");
         CHECK(reader.take_body() == "hello");
@@ -53,7 +53,7 @@
 {
     http_reader reader = read("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: "
                               "chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
-    CHECK(reader.progress() == read_progress::whole);
+    CHECK(reader.progress() == read_progress::complete);
     CHECK(reader.framing() == body_framing::chunked);
     CHECK(reader.take_body() == "abcde");
 }
@@ -109,7 +109,7 @@
     http_reader reader = read("HTTP/1.1 200 OK\r\n\r\nabc", message_role::answer);
     CHECK(reader.framing() == body_framing::until_close);
     CHECK(reader.progress() == read_progress::body);
-    CHECK(reader.append_eof() == read_progress::whole);
+    CHECK(reader.append_eof() == read_progress::complete);
     CHECK(reader.take_body() == "abc");
 }
 
--- a/tests/system/test_fleet_summary.cpp
+++ b/tests/system/test_fleet_summary.cpp
@@ -40,11 +40,11 @@
     auto const rows = summarize_zones(fleet());
     REQUIRE(rows.size() == 2);
     CHECK(rows[0].zone == "a");
-    CHECK(rows[0].entries == 148);
+    CHECK(rows[0].entry_count == 148);
     CHECK(rows[0].on_newest_configuration == 148);
     CHECK(rows[0].on_majority_directory == 148);
     CHECK(rows[0].readers == 1);
-    CHECK(rows[1].entries == 147);
+    CHECK(rows[1].entry_count == 147);
     CHECK(rows[1].calls == 294);
     CHECK(lagging_entries(fleet(), 10).empty());
 }
--- a/tests/transport/loop.hpp
+++ b/tests/transport/loop.hpp
@@ -97,10 +97,10 @@
     void read()
     {
         socket_.async_read_some(boost::asio::buffer(read_state_->bytes),
-                                [this, read_state = std::weak_ptr{read_state_}](
+                                [this, weak_state = std::weak_ptr{read_state_}](
                                     boost::system::error_code error, std::size_t count)
                                 {
-                                    if (auto const alive = read_state.lock())
+                                    if (auto const alive = weak_state.lock())
                                     {
                                         alive->received.append(alive->bytes.data(), count);
                                         alive->ended = static_cast<bool>(error);
--- a/tests/transport/test_caller_input.cpp
+++ b/tests/transport/test_caller_input.cpp
@@ -261,7 +261,7 @@
 {
     transport::session_limits limits;
     limits.buffer = 4096;
-    limits.stalled = 200ms;
+    limits.stall_timeout = 200ms;
     caller_fixture vm{limits};
     transport::tcp::socket stalled{vm.own_worker.context()};
     stalled.connect(transport::to_tcp(vm.listener.where()));
