--- a/include/plumdale/state/content_ref.hpp
+++ b/include/plumdale/state/content_ref.hpp
@@ -11,7 +11,8 @@
 namespace plumdale::state
 {
 
-/// \brief Names one version of a configuration value. Of two for a key, the greater is in force.
+/// \brief Identifies one version of a configuration value. Of two versions of a key, the greater is
+/// in force.
 struct content_ref
 {
     content_key key;
--- a/include/plumdale/state/customer.hpp
+++ b/include/plumdale/state/customer.hpp
@@ -15,7 +15,7 @@
 /// \brief SHA-256 digest of an API key.
 using sha256_digest = std::array<std::uint8_t, 32>;
 
-/// \brief A customer: who it is, how it proves that, and its share.
+/// \brief A customer: its identity, its credential, its weight and its limits.
 struct customer
 {
     customer_id id;
--- a/include/plumdale/state/engine_order.hpp
+++ b/include/plumdale/state/engine_order.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 /// \file
-/// \brief What an engine is told to be.
+/// \brief The role and version that an engine is ordered to take.
 
 namespace plumdale::state
 {
@@ -14,7 +14,8 @@
 /// \brief An order to one engine; every node derives the same one from the same stamp and engines.
 struct engine_order
 {
-    /// \brief Grows with the preset stamp; an engine that checks refuses a smaller one.
+    /// \brief Fencing number, greater for a later preset stamp; an engine that checks it rejects a
+    /// smaller one.
     std::uint64_t fence = 0;
     engine_role role = engine_role::mixed;
     std::string version;
--- a/include/plumdale/state/error_kind.hpp
+++ b/include/plumdale/state/error_kind.hpp
@@ -10,7 +10,7 @@
 namespace plumdale::state
 {
 
-/// \brief Everything that can go wrong, as callers and operators are told.
+/// \brief Every kind of error that callers and operators can receive.
 enum class error_kind : std::uint8_t
 {
     invalid_request,
@@ -38,16 +38,16 @@
     settings_invalid,
     connection_failed,
     internal,
-    count ///< Number of kinds; no kind itself.
+    count ///< Number of kinds; not a kind.
 };
 
-/// \brief What an answer says of the work it answers for.
+/// \brief What an answer states about whether the request ran.
 enum class run_claim : std::uint8_t
 {
     not_run,      ///< Nothing ran; safe to send again.
     may_have_run, ///< Not safe to send again for a billed request.
     interrupted,  ///< Ran, and some tokens were delivered; re-attach by identity.
-    no_claim      ///< Says nothing of any run (operators' commands, settings).
+    no_claim      ///< States nothing about a run (operators' commands, settings).
 };
 
 /// \brief One row of the table from error kind to answer.
@@ -56,10 +56,10 @@
     error_kind kind;
     std::string_view name;    ///< Stable word in JSON answers and logs.
     std::uint16_t status;     ///< HTTP status.
-    run_claim claim;          ///< What is promised of the run.
-    bool retry_after;         ///< Whether the answer carries a time to come back.
+    run_claim claim;          ///< What is stated about the run.
+    bool retry_after;         ///< Whether the answer carries a retry time.
     std::uint8_t exit_code;   ///< plumctl's exit code.
-    std::string_view message; ///< One short sentence for people.
+    std::string_view message; ///< One short, human-readable sentence.
 };
 
 /// \brief Returns the row for `kind`.
--- a/include/plumdale/state/evacuation.hpp
+++ b/include/plumdale/state/evacuation.hpp
@@ -24,12 +24,12 @@
 /// \brief All orders in force as of a revision of the platform's store.
 struct evacuations
 {
-    /// \brief Zero before anything is known.
+    /// \brief Zero until the orders are known.
     std::uint64_t as_of = 0;
     std::vector<evacuation> in_force;
 };
 
-/// \brief One change of the orders, as the store tells it.
+/// \brief One change of the orders, as the store reports it.
 struct evacuation_change
 {
     evacuation order;
--- a/include/plumdale/state/identifier.hpp
+++ b/include/plumdale/state/identifier.hpp
@@ -11,9 +11,9 @@
 namespace plumdale::state
 {
 
-/// \brief A 64-bit identifier that does not mix with those of another tag.
+/// \brief A 64-bit identifier; identifiers of different tags are distinct types.
 ///
-/// Zero means "none". Example: `customer_id const id = named<customer_id>("frescura");`
+/// Zero means "none". Example: `customer_id const id = id_from_name<customer_id>("frescura");`
 template <class Tag>
 struct identifier
 {
@@ -28,7 +28,7 @@
 
 /// \brief One entry VM, whatever process runs on it: derived from its peer endpoint.
 using node_id = identifier<struct node_tag>;
-/// \brief One uptime of an entry VM's process; a later start has a greater number.
+/// \brief One start of a process on an entry VM or upstream; a later start has a greater number.
 using incarnation = identifier<struct incarnation_tag>;
 /// \brief An availability zone, derived from its name.
 using zone_id = identifier<struct zone_tag>;
@@ -36,7 +36,7 @@
 using upstream_id = identifier<struct upstream_tag>;
 /// \brief A customer, derived from its name.
 using customer_id = identifier<struct customer_tag>;
-/// \brief A model or the name of a plain service, derived from its name.
+/// \brief A model or plain service, derived from its name.
 using model_id = identifier<struct model_tag>;
 /// \brief A preset, derived from its name.
 using preset_id = identifier<struct preset_tag>;
@@ -44,16 +44,15 @@
 using operator_id = identifier<struct operator_tag>;
 /// \brief A key of the configuration service, derived from its text.
 using content_key = identifier<struct content_tag>;
-/// \brief The transport's name for one waiting operator or content reader.
+/// \brief The transport's identifier of one waiting operator or content reader.
 using exchange_handle = identifier<struct exchange_tag>;
 /// \brief A digest of customer and idempotency key.
 using idempotency_key_id = identifier<struct key_tag>;
-/// \brief What a caller asks for, whichever attempt asks: a digest of host, path, customer and
-/// body.
+/// \brief Identifies a request across its attempts: a digest of host, path, customer and body.
 using request_digest = identifier<struct request_tag>;
-/// \brief The transport's name for one waiting caller (an HTTP exchange or a peer's relay).
+/// \brief The transport's identifier of one waiting caller (an HTTP exchange or a peer's relay).
 using caller_handle = identifier<struct caller_tag>;
-/// \brief The shard's name for one exchange with an upstream.
+/// \brief The shard's identifier of one exchange with an upstream.
 using stream_handle = identifier<struct stream_tag>;
 
 /// \brief Returns the 64-bit FNV-1a hash of `text`, the same on every node; never zero.
--- a/include/plumdale/state/load_report.hpp
+++ b/include/plumdale/state/load_report.hpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 
 /// \file
-/// \brief What an engine says of its own load.
+/// \brief An engine's report of its own load.
 
 namespace plumdale::state
 {
@@ -27,7 +27,7 @@
     std::uint32_t waiting = 0;
     /// \brief Preemptions since the engine started.
     std::uint64_t preemptions = 0;
-    /// \brief The engine says that it is leaving: this uptime wants no new work.
+    /// \brief Whether the engine reports that it is leaving: this incarnation takes no new work.
     bool leaving = false;
 };
 
--- a/include/plumdale/state/member.hpp
+++ b/include/plumdale/state/member.hpp
@@ -11,16 +11,17 @@
 namespace plumdale::state
 {
 
-/// \brief Health of a member, in the order in which news replaces older news of one incarnation.
+/// \brief Health of a member. Within one incarnation and refutation, a later value replaces an
+/// earlier one.
 enum class member_health : std::uint8_t
 {
     alive,
     suspect,
-    leaving, ///< Draining: finishes what it has and takes nothing new.
+    leaving, ///< Draining: finishes its requests and accepts no new ones.
     dead
 };
 
-/// \brief What is known of one entry VM.
+/// \brief What is known about one entry VM.
 struct member
 {
     node_id id;
--- a/include/plumdale/state/member_table.hpp
+++ b/include/plumdale/state/member_table.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 /// \file
-/// \brief Everything known of the members, as a value that is joined.
+/// \brief What is known about the members, as a table that merges updates.
 
 namespace plumdale::state
 {
@@ -21,7 +21,7 @@
     member info;
     /// \brief When `info` last changed here.
     time_point changed_at{};
-    /// \brief Own probe rounds in a row that failed.
+    /// \brief Consecutive probe rounds of this node that failed.
     std::uint32_t failed_rounds = 0;
 };
 
@@ -29,28 +29,29 @@
 enum class merge_result : std::uint8_t
 {
     unchanged, ///< Known already.
-    outdated,  ///< The table knows something newer, or the member is dead and was forgotten.
-    changed    ///< It was news.
+    outdated,  ///< Older than the row; or without a row, and dead or beyond `capacity`.
+    changed    ///< The table changed.
 };
 
-/// \brief Returns whether `a` replaces `b`: a later uptime, then a later refutation, then a worse
-/// health.
+/// \brief Returns whether `a` replaces `b`: by a later incarnation, then a later refutation, then a
+/// worse health.
 [[nodiscard]] bool is_newer(member const& a, member const& b) noexcept;
 
 /// \brief Members by id. Merging is associative, commutative and idempotent, so tables that
-/// exchanged all rows are equal in whatever order the news came.
+/// exchanged all rows are equal, whatever the order of the updates.
 ///
-/// Example: `if (table.merge(news, now) == merge_result::changed) { tell_others(news); }`
+/// Example: `if (table.merge(update, now) == merge_result::changed) { queue_update(update.id); }`
 class member_table
 {
 public:
-    /// \brief Most rows; news of further members is dropped.
+    /// \brief Most rows; updates about further members are dropped.
     static constexpr std::size_t capacity = 4'096;
 
     merge_result merge(member const& update, time_point now);
-    /// \brief Takes `update` though the table holds newer; for tests of the safeguard only.
+    /// \brief Stores `update` even if the table holds a newer state; only for tests that turn the
+    /// safeguard off.
     void overwrite(member const& update, time_point now);
-    /// \brief Drops members that are dead since before `time`; returns whether there were any.
+    /// \brief Removes members that died before `time`; returns whether there were any.
     bool remove_dead(time_point time);
 
     [[nodiscard]] member_entry* find(node_id id) noexcept;
--- a/include/plumdale/state/operator_account.hpp
+++ b/include/plumdale/state/operator_account.hpp
@@ -11,7 +11,7 @@
 namespace plumdale::state
 {
 
-/// \brief Who may switch presets, and how it proves that.
+/// \brief An account that may switch presets, and its credential.
 struct operator_account
 {
     operator_id id;
--- a/include/plumdale/state/preset.hpp
+++ b/include/plumdale/state/preset.hpp
@@ -22,7 +22,7 @@
     idle
 };
 
-/// \brief How many engines in a hundred of a model take a role, and which version they load.
+/// \brief The percentage of a model's engines that take a role, and the version they load.
 struct engine_assignment
 {
     model_id model;
@@ -44,11 +44,11 @@
     double question_headroom = 0.05;
     /// \brief Most sequences decoding at once on an engine.
     std::uint32_t max_batch = 48;
-    /// \brief How long a draft may wait at the entry VM for room; then it is refused at once.
+    /// \brief How long a draft may wait at the entry VM for capacity before it is refused.
     duration draft_wait = std::chrono::seconds{2};
     /// \brief Retries allowed for each 100 first attempts.
     std::uint32_t retry_percent = 10;
-    /// \brief Time to come back that refusals centre on; each is spread over 0.5 to 1.5 of it.
+    /// \brief Mean retry time in refusals; each varies by a factor of 0.5 to 1.5.
     duration retry_after = std::chrono::seconds{2};
     std::vector<engine_assignment> assignments;
 };
--- a/include/plumdale/state/preset_stamp.hpp
+++ b/include/plumdale/state/preset_stamp.hpp
@@ -19,7 +19,7 @@
     std::uint64_t revision = 0;
     /// \brief Operator switches on top of that revision; zero for the published switch itself.
     std::uint32_t count = 0;
-    /// \brief The operator, to order two that race; zero for the published switch.
+    /// \brief The operator, to order two concurrent switches; zero for the published switch.
     std::uint64_t operator_id = 0;
     /// \brief The preset that the switch puts in force.
     preset_id preset;
--- a/include/plumdale/state/request.hpp
+++ b/include/plumdale/state/request.hpp
@@ -11,15 +11,15 @@
 #include <vector>
 
 /// \file
-/// \brief What a caller asks for.
+/// \brief A caller's request.
 
 namespace plumdale::state
 {
 
-/// \brief The kind of work, for head room and measures.
+/// \brief The kind of work, for headroom and metrics.
 enum class work_kind : std::uint8_t
 {
-    question, ///< A short answer that someone waits for.
+    question, ///< A short answer that a user waits for.
     draft,    ///< A long list or draft.
     call      ///< A call to a plain service.
 };
@@ -47,9 +47,9 @@
     model_id model;
     /// \brief The identity, for `attach`, `cancel` and the run of a reserved generation.
     generation_id generation;
-    /// \brief Where the generation was last seen to run; a hint from the caller's last event.
+    /// \brief Upstream on which the generation last ran; a hint from the caller's last event.
     upstream_id upstream_hint;
-    /// \brief First token index that the caller has not got, for `attach`.
+    /// \brief First token index that the caller has not received, for `attach`.
     std::uint32_t next_index = 0;
     /// \brief Digest of the idempotency key; zero when none was given.
     idempotency_key_id key;
@@ -62,7 +62,7 @@
     /// \brief Chained hashes of the prompt's leading blocks, for prefix affinity.
     std::vector<std::uint64_t> prefix;
     time_point deadline = never;
-    /// \brief What is sent to the upstream: the prompt, or a plain call's body.
+    /// \brief Body sent to the upstream: the prompt, or a plain call's body.
     std::shared_ptr<std::string const> body;
     /// \brief Path of a plain call on its service.
     std::string path;
--- a/include/plumdale/state/result.hpp
+++ b/include/plumdale/state/result.hpp
@@ -20,7 +20,7 @@
     std::string detail;
 };
 
-/// \brief A value or a failure. Asking for the wrong one ends the process.
+/// \brief A value or a failure. Accessing the wrong one terminates the process.
 template <class T>
 using result = boost::outcome_v2::basic_result<T, failure, boost::outcome_v2::policy::terminate>;
 
--- a/include/plumdale/state/routing_configuration.hpp
+++ b/include/plumdale/state/routing_configuration.hpp
@@ -13,7 +13,7 @@
 namespace plumdale::state
 {
 
-/// \brief What may be repeated of a call.
+/// \brief Whether a call may run more than once.
 enum class call_kind : std::uint8_t
 {
     idempotent,     ///< May run more than once.
@@ -28,7 +28,7 @@
     double weight = 1.0;
 };
 
-/// \brief Which calls go to which service, and what their callers were promised.
+/// \brief Matches calls to services, and states the calls' limits and objectives.
 struct route
 {
     std::string name;
@@ -36,11 +36,11 @@
     /// \brief Begins the path; begins and ends with a slash.
     std::string prefix;
     call_kind kind = call_kind::non_idempotent;
-    /// \brief Longest time that a caller may be kept without a final answer.
+    /// \brief Longest time that a caller may wait for a final answer.
     duration timeout = std::chrono::seconds{30};
-    /// \brief Latency objective: to the answer, of streams to the first event.
+    /// \brief Latency objective: time to the answer or, for a stream, to the first event.
     duration target_latency = std::chrono::seconds{1};
-    /// \brief Longest pause between two events for which a stream is on time; zero for none.
+    /// \brief Longest pause between two events of a stream that meets the objective; zero for none.
     duration target_gap{};
     /// \brief Rank, zero is the most urgent.
     std::uint32_t priority = 0;
@@ -66,10 +66,10 @@
     bool backups = false;
 };
 
-/// \brief What an upstream of a service bears while it is cold.
+/// \brief Load limits of a service's upstreams while they are cold.
 struct cold_limits
 {
-    /// \brief From all entry VMs together.
+    /// \brief Rate from all entry VMs together.
     double requests_per_second = 0.0;
     /// \brief How long an upstream is cold after its start.
     duration time{};
@@ -82,11 +82,11 @@
     /// \brief Connections that one upstream takes from all callers together.
     std::uint32_t max_connections = 100;
     std::optional<engine_limits> engine;
-    /// \brief None where cold upstreams bear what others do.
+    /// \brief Empty if cold upstreams take the same load as others.
     std::optional<cold_limits> cold;
 };
 
-/// \brief Bounds of what callers may send.
+/// \brief Limits on what callers may send.
 struct caller_limits
 {
     std::uint32_t header_bytes = 16 * 1024;
@@ -95,7 +95,7 @@
     duration idle_timeout = std::chrono::seconds{60};
 };
 
-/// \brief A customer, the keys that prove it, and its rank where it has one.
+/// \brief A customer, its API keys and, if it has one, its priority rank.
 struct customer_keys
 {
     std::string name;
--- a/include/plumdale/state/stated_limit.hpp
+++ b/include/plumdale/state/stated_limit.hpp
@@ -6,19 +6,18 @@
 #include <optional>
 
 /// \file
-/// \brief What an upstream says that it takes.
+/// \brief The request rate that an upstream states as its limit.
 
 namespace plumdale::state
 {
 
-/// \brief One statement of an upstream's answer, as entry VMs tell each other.
+/// \brief One limit stated in an upstream's answer, as entry VMs exchange it.
 struct stated_limit
 {
     member_key member;
-    /// \brief Requests a second from all entry VMs together; none where it states no limit any
-    /// more.
+    /// \brief Requests a second from all entry VMs together; empty if it no longer states a limit.
     std::optional<double> per_second;
-    /// \brief How long ago that was.
+    /// \brief Time since the answer.
     duration age{};
 };
 
--- a/include/plumdale/state/store_position.hpp
+++ b/include/plumdale/state/store_position.hpp
@@ -3,15 +3,16 @@
 #include <cstdint>
 
 /// \file
-/// \brief Where something stands in the history of the platform's store.
+/// \brief A position in the history of the platform's store.
 
 namespace plumdale::state
 {
 
-/// \brief A revision and the era of the store in which it was given out.
+/// \brief A revision and the era of the store in which it was issued.
 ///
-/// A store that comes back from a copy gives revisions out again; its era rises each time. Kept as
-/// one number, so that what joins by the greatest revision joins by the greatest position.
+/// A store that is restored from a copy issues revisions again; its era grows with each restore.
+/// Both are packed into one number, so that code that merges by the greatest revision merges by the
+/// greatest position.
 struct store_position
 {
     std::uint64_t era = 0;
@@ -26,20 +27,20 @@
     {
         return (era << revision_bits) | (revision & revision_mask);
     }
-    /// \brief Returns the position that `value()` gave.
+    /// \brief Returns the position that `value()` encodes.
     [[nodiscard]] static constexpr store_position from_value(std::uint64_t value) noexcept
     {
         return {value >> revision_bits, value & revision_mask};
     }
 };
 
-/// \brief Returns the revision as the store tells it.
+/// \brief Returns the revision as the store reports it.
 [[nodiscard]] constexpr std::uint64_t revision_in(std::uint64_t position) noexcept
 {
     return store_position::from_value(position).revision;
 }
 
-/// \brief Returns the era in which a revision was given out.
+/// \brief Returns the era in which a revision was issued.
 [[nodiscard]] constexpr std::uint64_t era_in(std::uint64_t position) noexcept
 {
     return store_position::from_value(position).era;
--- a/include/plumdale/state/time.hpp
+++ b/include/plumdale/state/time.hpp
@@ -8,8 +8,8 @@
 namespace plumdale::state
 {
 
-/// \brief Tag of the clock that drivers inject. It never steps back and has no `now()`: a part is
-/// told the time with each event.
+/// \brief Tag of the clock that drivers inject. It never steps back and has no `now()`: the time is
+/// passed in with each event.
 struct injected_clock
 {
     using duration = std::chrono::nanoseconds;
@@ -22,7 +22,7 @@
 using duration = injected_clock::duration;
 using time_point = injected_clock::time_point;
 
-/// \brief A moment that never comes: "no deadline".
+/// \brief A time that is never reached: "no deadline".
 inline constexpr time_point never = time_point::max();
 
 } // namespace plumdale::state
--- a/include/plumdale/state/upstream.hpp
+++ b/include/plumdale/state/upstream.hpp
@@ -28,10 +28,10 @@
     model_id model;
     std::string model_name;
     endpoint address;
-    /// \brief One uptime of the upstream; a mark that it is leaving holds for this uptime only.
+    /// \brief Incarnation of the upstream; a leaving mark applies to this incarnation only.
     incarnation incarnation_number;
     bool leaving = false;
-    /// \brief Whether the engine refuses an order with an old fencing number.
+    /// \brief Whether the engine rejects an order with an old fencing number.
     bool fences_orders = true;
     std::string name;
 };
--- a/src/state/member_table.cpp
+++ b/src/state/member_table.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-// A suspicion is settled within seconds one way or the other, and the dead are forgotten at
-// different times on different nodes: neither may make tables look different.
+// A suspicion lasts only seconds, and nodes remove dead members at different times: neither may
+// make the digests of tables differ.
 std::uint64_t digest_of(member const& info) noexcept
 {
     if (info.health == member_health::dead)
--- a/tests/state/test_error_kind.cpp
+++ b/tests/state/test_error_kind.cpp
@@ -4,7 +4,7 @@
 
 using namespace plumdale::state;
 
-TEST_CASE("every error kind has a row with a name of its own", "[error_kind]")
+TEST_CASE("every error kind has a row with a unique name", "[error_kind]")
 {
     for (error_answer const& row : error_table())
     {
@@ -14,7 +14,7 @@
     }
 }
 
-TEST_CASE("a temporary refusal of a run carries a time to come back", "[error_kind]")
+TEST_CASE("a temporary refusal of a run carries a retry time", "[error_kind]")
 {
     for (error_answer const& row : error_table())
     {
