--- a/include/plumdale/coordination/drain.hpp
+++ b/include/plumdale/coordination/drain.hpp
@@ -6,19 +6,19 @@
 #include <cstdint>
 
 /// \file
-/// \brief When a graceful shutdown is over.
+/// \brief Decides when a graceful shutdown is complete.
 
 namespace plumdale::coordination
 {
 
-/// \brief Waits until nothing is in flight, at least long enough for the balancer to turn away and
-/// at most as long as the settings say.
+/// \brief Waits until nothing is in flight: at least `drain_settle`, so that the load balancer
+/// stops sending requests, and at most `drain_limit`.
 class drain
 {
 public:
     explicit drain(node_settings const& settings) : settings_{settings} {}
 
-    /// \brief Begins; a second request changes nothing.
+    /// \brief Begins the drain; a second call has no effect.
     void begin(state::time_point now) noexcept;
     void advance(std::uint32_t in_flight, state::time_point now, control_actions& actions);
 
--- a/include/plumdale/coordination/identity_signer.hpp
+++ b/include/plumdale/coordination/identity_signer.hpp
@@ -15,7 +15,7 @@
 
 /// \brief Signs identities with the fleet key. Safe to use from several threads.
 ///
-/// Example: `identity_signer signer{key}; auto id = signer.mint(node, uptime, 7);`
+/// Example: `identity_signer signer{key}; auto id = signer.mint(node, incarnation, 7);`
 class identity_signer
 {
 public:
@@ -27,7 +27,7 @@
     /// \brief Returns a signed identity.
     [[nodiscard]] state::generation_id
     mint(state::node_id owner, state::incarnation incarnation_number, std::uint64_t sequence) const;
-    /// \brief Returns whether the MAC fits the other fields; takes the same time either way.
+    /// \brief Returns whether the MAC matches the other fields; the comparison takes constant time.
     [[nodiscard]] bool verify(state::generation_id const& id) const;
 
 private:
--- a/include/plumdale/coordination/leaving_marks.hpp
+++ b/include/plumdale/coordination/leaving_marks.hpp
@@ -9,28 +9,30 @@
 #include <map>
 
 /// \file
-/// \brief Which uptimes of upstreams are leaving.
+/// \brief Which incarnations of upstreams are leaving.
 
 namespace plumdale::coordination
 {
 
-/// \brief Marks that only grow: once an uptime of an upstream is marked, it stays so.
+/// \brief Marks that only grow: once an incarnation of an upstream is marked, it stays marked.
 ///
-/// Example: `if (marks.add({upstream, uptime}, fleet_size)) { tell_others(); }`
+/// Example: `if (marks.add({upstream, incarnation}, fleet_size)) { members.request_gossip(); }`
 class leaving_marks
 {
 public:
-    /// \brief Most upstreams with a mark; the oldest uptimes go first.
+    /// \brief Most upstreams with a mark; the marks of the oldest incarnations are dropped first.
     static constexpr std::size_t capacity = 4'096;
 
-    /// \brief Marks this uptime and those before it; returns whether it was news.
+    /// \brief Marks this incarnation and earlier ones; returns whether the mark is new.
     bool add(leaving_mark mark, std::size_t fleet_size);
-    /// \brief A later uptime of the upstream exists: its mark has served.
+    /// \brief Removes the upstream's mark if it is older than `newest`, the latest incarnation
+    /// known.
     void prune(state::upstream_id upstream, state::incarnation newest);
     [[nodiscard]] bool is_leaving(state::upstream_id upstream,
                                   state::incarnation incarnation_number) const noexcept;
 
-    /// \brief Adds marks to a message: news first, then others when the receiver's digest differs.
+    /// \brief Adds marks to a message: new ones first, then others if the receiver's digest
+    /// differs.
     void piggyback(peer_message& message, bool differs);
     [[nodiscard]] std::uint64_t digest() const noexcept
     {
--- a/include/plumdale/coordination/membership.hpp
+++ b/include/plumdale/coordination/membership.hpp
@@ -13,18 +13,19 @@
 #include <vector>
 
 /// \file
-/// \brief Who the entry VMs of the fleet are, and which of them live.
+/// \brief Which entry VMs belong to the fleet, and which of them are alive.
 
 namespace plumdale::coordination
 {
 
-/// \brief Failure detection and spreading of news between entry VMs, in the manner of SWIM.
+/// \brief Failure detection and gossip between entry VMs, based on SWIM.
 ///
-/// Every node keeps the whole table of members, but probes only a bounded few each round. Example:
+/// Every node keeps the whole table of members, but probes only a bounded number of them each
+/// round. Example:
 /// \code
 /// membership members{settings, seed};
 /// control_actions actions;
-/// members.advance(now, actions);              // a round is due: probes go out
+/// members.advance(now, actions);              // sends probes if a round is due
 /// members.receive(from, message, now, actions);
 /// \endcode
 class membership
@@ -33,24 +34,26 @@
     /// \brief `settings` outlives this object.
     membership(node_settings const& settings, std::uint64_t seed);
 
-    /// \brief Reads the failure detector's part of a datagram. Answers lack what other parts
-    /// piggyback.
+    /// \brief Processes the failure detector's part of a datagram. The answers lack what other
+    /// components piggyback.
     void receive(state::endpoint from, peer_message const& message, state::time_point now,
                  control_actions& actions);
-    /// \brief Does what is due: probes, suspicions that ran out, news to spread.
+    /// \brief Does what is due: sends probes, expires suspicions, gossips updates.
     void advance(state::time_point now, control_actions& actions);
-    /// \brief The process did not run for a while: nobody is blamed for not having been heard.
+    /// \brief Restarts probes and suspicions after the process was paused, so that no member is
+    /// declared dead for answers that this node missed.
     void resume_after_pause(state::time_point now);
-    /// \brief Names endpoints at which entry VMs may be; they are members only once heard from.
+    /// \brief Sets endpoints at which entry VMs may run; they become members only once they send a
+    /// message.
     void set_candidates(std::span<state::endpoint const> candidates);
     /// \brief Announces that this entry VM drains.
     void leave(state::time_point now);
-    /// \brief Has something to tell soon: the next `advance` sends `update` to a few members.
+    /// \brief Requests gossip: the next `advance` that is due sends `update` to a few members.
     void request_gossip() noexcept
     {
         gossip_due_ = true;
     }
-    /// \brief Pings a member out of turn, for the state that its answer carries.
+    /// \brief Pings a member outside of the rounds, for the state that its answer carries.
     void poll(state::member const& member, control_actions& actions);
 
     [[nodiscard]] state::time_point next_deadline() const noexcept;
@@ -67,20 +70,21 @@
     {
         return version_;
     }
-    /// \brief Returns when this node last heard that peers took it for dead; the epoch if never.
+    /// \brief Returns when this node last learnt that peers had declared it dead; the epoch if
+    /// never.
     [[nodiscard]] state::time_point presumed_dead_at() const noexcept
     {
         return presumed_dead_at_;
     }
-    /// \brief Returns the greatest uptime known at this node's address, when it is not its own;
-    /// else none.
+    /// \brief Returns the greatest incarnation known at this node's address if it is later than its
+    /// own; else none.
     [[nodiscard]] state::incarnation replaced_by() const noexcept
     {
         return replaced_by_;
     }
 
 private:
-    /// \brief One lost round is common at 10% loss, two in a row are not.
+    /// \brief One failed round is common at 10% datagram loss, two in a row are not.
     static constexpr std::uint32_t failed_rounds_to_suspect = 2;
 
     struct probe
--- a/include/plumdale/coordination/node_settings.hpp
+++ b/include/plumdale/coordination/node_settings.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 /// \file
-/// \brief What one entry VM's decisions depend on, fixed for an uptime.
+/// \brief Settings of one entry VM, fixed for an incarnation.
 
 namespace plumdale::coordination
 {
@@ -18,11 +18,11 @@
 /// \brief Settings of `entry_node`. Durations are of the injected clock.
 struct node_settings
 {
-    /// \brief This entry VM: id, zone, incarnation of this uptime, endpoints.
+    /// \brief This entry VM: id, zone, incarnation, endpoints.
     state::member self;
     /// \brief Secret shared by the fleet: signs identities and datagrams. At least 16 bytes.
     std::string fleet_key;
-    /// \brief Keys that peers and identities may still, or already, be signed with.
+    /// \brief Further keys accepted for datagrams and identities while the fleet key is changed.
     std::vector<std::string> accepted_fleet_keys;
     /// \brief Datagram endpoints to join through.
     std::vector<state::endpoint> seeds;
@@ -42,7 +42,7 @@
     // -- membership ------------------------------------------------------------
     /// \brief Each round probes a few members; two failed rounds in a row raise a suspicion.
     state::duration probe_interval = std::chrono::milliseconds{500};
-    /// \brief How long a direct probe is waited for before peers are asked to probe too.
+    /// \brief How long to wait for a direct probe's answer before peers are asked to probe too.
     state::duration probe_timeout = std::chrono::milliseconds{200};
     /// \brief How long a suspected member has to refute.
     state::duration suspicion_time = std::chrono::milliseconds{1500};
@@ -51,26 +51,27 @@
     // -- presets ------------------------------------------------------------
     /// \brief Entry VMs of a zone that watch the configuration service.
     std::uint32_t readers_per_zone = 2;
-    /// \brief How long one watch waits at the service.
+    /// \brief How long one watch request waits at the service.
     state::duration watch_wait = std::chrono::seconds{20};
     /// \brief An operator's switch is accepted once this many other entry VMs hold it: as many as
     /// may be lost at once.
     std::uint32_t switch_holders = 2;
-    /// \brief ... and once other entry VMs in this many zones hold it.
+    /// \brief A switch is accepted only once other entry VMs in this many zones hold it.
     std::uint32_t switch_zones = 1;
-    /// \brief Time that racing switches are given to meet before one is called accepted.
+    /// \brief Least wait before a switch is accepted, so that concurrent switches reach each other
+    /// first.
     state::duration switch_settle = std::chrono::milliseconds{300};
     /// \brief Longest wait for acceptance.
     state::duration switch_wait = std::chrono::seconds{5};
-    /// \brief How long a starting or woken node waits for peers before it believes the service
-    /// alone.
+    /// \brief How long a node waits for peers after a start or pause before it relies on the
+    /// service alone.
     state::duration catch_up_wait = std::chrono::seconds{3};
-    /// \brief How often a node that is no reader looks at the service itself.
+    /// \brief How often a node that isn't a reader reads the service itself.
     state::duration idle_read_interval = std::chrono::minutes{1};
     // -- drain ------------------------------------------------------------
     /// \brief A drain ends after this time at the latest, whatever is still in flight.
     state::duration drain_limit = std::chrono::minutes{10};
-    /// \brief A drain lasts at least this long, so that the balancer sees the health check turn.
+    /// \brief A drain lasts at least this long, so that the balancer sees the health check fail.
     state::duration drain_settle = std::chrono::milliseconds{500};
     // -- load ------------------------------------------------------------
     /// \brief Fleets with at most this many engines read the load of all of them at every node.
@@ -89,27 +90,29 @@
     /// \brief How often an engine's order is read back.
     state::duration order_interval = std::chrono::seconds{10};
     // -- requests ------------------------------------------------------------
-    /// \brief How long after a first attempt a caller may repeat a key: as long is it remembered,
-    /// and as long a VM without memory of that time refuses repeats.
+    /// \brief How long after a first attempt a caller may repeat a key. A key is remembered for
+    /// this long, and a VM without memory of that time refuses repeats for as long.
     state::duration key_window = std::chrono::minutes{10};
     /// \brief Most keys remembered by one shard.
     std::uint32_t key_count = 50'000;
-    /// \brief How long a home VM has to be dead before its keys pass to the next; above the time in
-    /// which every member learns that it is cut off.
+    /// \brief How long a home VM has to be dead before its keys pass to the next; longer than any
+    /// member takes to detect that it is cut off.
     state::duration key_takeover_delay = std::chrono::seconds{5};
     /// \brief How long a reserved identity may wait for its run.
     state::duration reservation_time = std::chrono::minutes{10};
-    /// \brief How long a caller's buffer may stay full before the caller is let go.
+    /// \brief How long a caller's buffer may stay full before the caller is disconnected.
     state::duration slow_reader_time = std::chrono::seconds{30};
-    /// \brief How long repeatable work runs on for a streaming caller that may attach again.
+    /// \brief How long repeatable work runs on for a disconnected streaming caller that may attach
+    /// again.
     state::duration reattach_time = std::chrono::seconds{5};
-    /// \brief A deadline met later than this means that the process did not run.
+    /// \brief A deadline handled later than this means that the process was paused.
     state::duration pause_tolerance = std::chrono::seconds{1};
-    /// \brief Longest wait for fresh news after a pause before anything is dispatched.
+    /// \brief Longest wait for fresh state after a pause before anything is dispatched.
     state::duration pause_hold = std::chrono::seconds{1};
-    /// \brief Resumptions of one stream in a row that bring no token.
+    /// \brief Most consecutive resumptions of one stream without a token.
     std::uint32_t resume_count = 3;
-    /// \brief Upstreams asked for a generation whose owner died and whose upstream is not known.
+    /// \brief Most upstreams asked for a generation whose owner died and whose upstream is not
+    /// known.
     std::uint32_t probe_count = 4;
     /// \brief All on; only tests and the fault runner turn one off.
     safeguard_set safeguards;
--- a/include/plumdale/coordination/order_planner.hpp
+++ b/include/plumdale/coordination/order_planner.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 /// \file
-/// \brief Which orders engines get, from whom and when.
+/// \brief Which orders engines get, from which node and when.
 
 namespace plumdale::coordination
 {
@@ -29,15 +29,15 @@
 /// \brief Returns the fencing number of a stamp: greater for a later stamp.
 [[nodiscard]] std::uint64_t fence_of(state::preset_stamp const& stamp) noexcept;
 
-/// \brief Derives each engine's order from the preset in force and the set of engines; any two
-/// nodes that know the same derive the same. Engines of models without assignment get none.
+/// \brief Derives each engine's order from the preset in force and the set of engines; nodes with
+/// the same inputs derive the same plan. Engines of models without assignment get none.
 [[nodiscard]] std::vector<planned_order> plan_orders(state::preset_stamp const& stamp,
                                                      state::preset const& preset,
                                                      std::span<upstream_view const> upstreams);
 
-/// \brief Gives the engines that this node is responsible for their orders.
+/// \brief Sends orders to the engines that this node is responsible for.
 ///
-/// Each engine is read, ordered only where it differs, and read back.
+/// Each engine's order is read, sent only where it differs, and read back.
 class order_planner
 {
 public:
@@ -47,11 +47,11 @@
     {
     }
 
-    /// \brief Takes over the plan of what is in force now.
+    /// \brief Plans the orders for the preset in force in `fleet`.
     void plan(fleet_snapshot const& fleet, state::time_point now);
     void handle(order_read const& event, state::time_point now, control_actions& actions);
     void handle(order_failed const& event);
-    /// \brief What was read before the pause no longer counts.
+    /// \brief Discards reads sent before the pause, and reads every engine again.
     void resume_after_pause();
     void advance(state::time_point now, control_actions& actions);
     [[nodiscard]] state::time_point next_deadline() const noexcept;
@@ -62,12 +62,12 @@
         planned_order planned;
         state::endpoint address;
         bool checks_fence = true;
-        /// \brief When the order may be given, for the weight store's sake.
+        /// \brief Earliest time for the order, which limits concurrent loads from the weight store.
         state::time_point not_before{};
         state::time_point next_read{};
-        /// \brief A read was sent since the last pause, and its answer is awaited.
+        /// \brief Whether a read was sent since the last pause and awaits its answer.
         bool read_pending = false;
-        /// \brief Used with read-back off only.
+        /// \brief Used only with the safeguard `order_readback` off.
         bool order_sent = false;
     };
 
--- a/include/plumdale/coordination/peer_message.hpp
+++ b/include/plumdale/coordination/peer_message.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 /// \file
-/// \brief What entry VMs tell each other in datagrams.
+/// \brief What entry VMs send each other in datagrams.
 
 namespace plumdale::coordination
 {
@@ -19,12 +19,12 @@
 enum class peer_message_kind : std::uint8_t
 {
     ping,         ///< Answer with `ack` and the same sequence.
-    ack,          ///< The member named in `target` lives; answers `ping` or `ping_request`.
+    ack,          ///< The member named in `target` is alive; answers `ping` or `ping_request`.
     ping_request, ///< Ping `target` for the sender and pass its `ack` on.
     update        ///< Read what is piggybacked; no answer.
 };
 
-/// \brief A mark that an upstream is leaving; holds for this uptime and all before it.
+/// \brief A mark that an upstream is leaving; applies to this incarnation and all earlier ones.
 struct leaving_mark
 {
     state::upstream_id upstream;
@@ -51,7 +51,7 @@
     friend bool operator==(load_summary const&, load_summary const&) noexcept = default;
 };
 
-/// \brief Digests of what a node holds; equal ones mean nothing is to be exchanged.
+/// \brief Digests of a node's state; if they are equal, there is nothing to exchange.
 struct state_digests
 {
     std::uint64_t members = 0;
@@ -74,19 +74,20 @@
     static constexpr std::size_t max_loads = 4;
 
     peer_message_kind kind = peer_message_kind::update;
-    /// \brief The sender as it knows itself.
+    /// \brief The sender's own state.
     state::member sender;
     std::uint64_t sequence = 0;
     /// \brief The member that `ping_request` and `ack` are about.
     state::node_id target;
     /// \brief Where `ping_request` finds the target.
     state::endpoint target_address;
-    /// \brief Whether the sender serves: it learnt after its start what is in force.
+    /// \brief Whether the sender serves: it has learnt what is in force since it started or was
+    /// paused.
     bool caught_up = false;
     state::preset_stamp stamp;
     state_digests digests;
-    /// \brief In a ping: the sender wants members after this id, when its digest differs. In an
-    /// ack: where the members that were given end; none at the end of the table.
+    /// \brief In a ping: if digests differ, the answer carries members after this id. In an ack:
+    /// the last id of the page that it carries; none at the end of the table.
     state::node_id members_after;
     std::vector<state::member> members;
     std::vector<leaving_mark> marks;
--- a/include/plumdale/coordination/preset_agreement.hpp
+++ b/include/plumdale/coordination/preset_agreement.hpp
@@ -18,7 +18,7 @@
 {
 
 /// \brief Keeps the newest switch and the configuration values, learnt from the service and from
-/// peers, and takes operators' switches.
+/// peers, and accepts operators' switches.
 ///
 /// Example: `agreement.handle(switch_published{7, peak}, now);` then `agreement.in_force()`.
 class preset_agreement
@@ -43,11 +43,12 @@
     void handle(content_requested const& event, control_actions& actions) const;
     void handle(content_unavailable const& event, state::time_point now);
 
-    /// \brief Reads, fetches, and answers operators, as due.
+    /// \brief Does what is due: reads the service, fetches values, answers operators.
     void advance(state::time_point now, control_actions& actions);
-    /// \brief What was known is in doubt until peers or the service were heard again.
+    /// \brief Stops serving until this node has caught up with peers or the service again.
     void resume_after_pause(state::time_point now);
-    /// \brief Adds stamp and names of values to a message. `reply_to` is what it answers, or null.
+    /// \brief Adds stamp and references to values to a message. `reply_to` is the message that it
+    /// answers, or null.
     void piggyback(peer_message& message, peer_message const* reply_to);
 
     [[nodiscard]] state::time_point next_deadline() const noexcept;
@@ -61,7 +62,7 @@
     {
         return in_force_;
     }
-    /// \brief Returns whether enough is known, and recently enough, to serve.
+    /// \brief Returns whether this node has caught up and has the configuration it needs to serve.
     [[nodiscard]] bool ready() const noexcept;
     /// \brief Returns whether what is in force would outlive this VM: published, or an operator's
     /// switch that enough other VMs hold.
@@ -79,10 +80,10 @@
     {
         return version_;
     }
-    /// \brief Returns whether there is news to spread, and forgets it.
+    /// \brief Returns whether an update is to be gossiped, and clears that flag.
     [[nodiscard]] bool take_update_pending() noexcept;
-    /// \brief Returns members to ask for their stamp while an operator waits: some of each zone
-    /// that has not enough holders.
+    /// \brief Returns members to poll for their stamp while an operator waits: a few of each zone
+    /// that aren't known to hold the switch.
     [[nodiscard]] std::vector<state::member> members_to_poll(state::time_point now);
 
 private:
@@ -114,7 +115,7 @@
     state::preset_stamp stamp_;
     state::preset_stamp in_force_;
     bool switched_in_outage_ = false;
-    /// \brief Peers seen to hold `stamp_`; no more of them than are wanted.
+    /// \brief Peers known to hold `stamp_`; at most `switch_holders` of them.
     std::set<state::node_id> stamp_holders_;
     bool update_pending_ = false;
     std::uint64_t version_ = 1;
--- a/include/plumdale/coordination/safeguards.hpp
+++ b/include/plumdale/coordination/safeguards.hpp
@@ -10,42 +10,42 @@
 namespace plumdale::coordination
 {
 
-/// \brief One check that keeps a promise under failure.
+/// \brief One check that upholds a guarantee under failure.
 enum class safeguard : std::uint8_t
 {
     // -- requests ----------------------------------------------------------------------------
-    identity_mac,       ///< An identity whose MAC does not fit is turned away.
+    identity_mac,       ///< An identity whose MAC does not match is rejected.
     single_owner,       ///< Only the process named in an identity dispatches it.
     dispatch_once,      ///< A second run of an identity or key attaches to the first.
     identity_per_start, ///< A restart runs under an identity of its own.
     key_home,           ///< A keyed run is decided by its home VM.
     key_doubt,          ///< A VM without memory of a key's past refuses repeats.
-    key_takeover,       ///< Keys of a dead home pass on late, and only in a majority.
+    key_takeover,       ///< Keys of a dead home are taken over after a delay, only in a majority.
     token_identity,     ///< Tokens of another identity are dropped.
     token_index,        ///< Tokens out of order are dropped.
-    restart_unsent,     ///< No restart once a token has left.
+    restart_unsent,     ///< No restart once a token was sent.
     restart_repeatable, ///< No restart of work that may have run and may not be repeated.
-    truthful_refusal,   ///< "Not run" is said only of work that provably did not run.
+    truthful_refusal,   ///< "Not run" is reported only for work that provably did not run.
     silence_resume,     ///< A silent stream is resumed on a new connection.
-    pause_recheck,      ///< A process that paused looks again before it dispatches.
+    pause_recheck,      ///< A process that was paused refreshes its state before it dispatches.
     single_caller,      ///< A new caller supersedes the one attached before.
-    detached_finish,    ///< Billed work finishes though its caller left.
+    detached_finish,    ///< Billed work finishes even if its caller disconnects.
     deadline_answer,    ///< A deadline that passes is answered at once.
-    slow_reader_bound,  ///< A caller that stopped reading is let go.
+    slow_reader_bound,  ///< A caller that stopped reading is disconnected.
     drain_waits,        ///< A drain waits for all that is in flight.
                         // -- control
                  // -----------------------------------------------------------------------------
     stamp_join,         ///< Preset stamps join by maximum; an older one never replaces a newer.
-    catch_up,           ///< A fresh VM serves only after it learnt what is in force.
+    catch_up,           ///< A started VM serves only once it has learnt what is in force.
     acceptance_count,   ///< A switch is accepted only when enough VMs hold it.
-    outage_switch,      ///< What was published unseen does not undo a switch of that outage.
-    leaving_mark,       ///< A mark that an upstream leaves is never taken back for its uptime.
-    member_incarnation, ///< News of an older incarnation does not replace that of a newer one.
-    suspicion,          ///< A silent member is suspected, and may refute, before it is dead.
-    datagram_mac,       ///< Datagrams whose MAC does not fit are dropped.
+    outage_switch,      ///< A revision published unseen does not undo a switch made in the outage.
+    leaving_mark,       ///< A leaving mark is never revoked for its incarnation.
+    member_incarnation, ///< State of an older incarnation does not replace that of a newer one.
+    suspicion,          ///< A silent member may refute a suspicion before it is declared dead.
+    datagram_mac,       ///< Datagrams whose MAC does not match are dropped.
     order_fence,        ///< Orders carry a fencing number derived from the stamp.
-    order_readback,     ///< An engine that ignores fencing numbers is read back.
-    count               ///< Number of safeguards; no safeguard itself.
+    order_readback,     ///< Orders are read back, as an engine may ignore fencing numbers.
+    count               ///< Number of safeguards; not a safeguard.
 };
 
 /// \brief Number of safeguards.
--- a/include/plumdale/coordination/store_position_tracker.hpp
+++ b/include/plumdale/coordination/store_position_tracker.hpp
@@ -4,36 +4,36 @@
 #include <optional>
 
 /// \file
-/// \brief Which of the store's revisions are of before it came back from a copy.
+/// \brief Which of the store's revisions predate its restore from a copy.
 
 namespace plumdale::coordination
 {
 
-/// \brief Tells the positions of what the store answers, across its eras.
+/// \brief Maps revisions in the store's answers to positions, across its eras.
 ///
-/// What a copy holds is older than what was heard before the store came back, even where its
-/// revisions are equal; what was written since is newer, even where they are less. Example:
+/// Entries of a copy are older than entries received before the restore, even if their revisions
+/// are equal; entries written since are newer, even if their revisions are smaller. Example:
 /// \code
 /// store_position_tracker history;
-/// if (history.advance_era(answer_era)) { read everything anew }
+/// if (history.advance_era(answer_era)) { read everything again }
 /// history.observe_revision(revision);
 /// item.revision = history.position_of(item.revision);
 /// \endcode
 class store_position_tracker
 {
 public:
-    /// \brief Takes the era of an answer; returns whether it is later than one that this process
-    /// knew.
+    /// \brief Records the era of an answer; returns whether it is later than the one that this
+    /// process knew.
     bool advance_era(std::uint64_t era) noexcept;
-    /// \brief The store told that it was at this revision. The first one of an era bounds what its
-    /// copy can hold.
+    /// \brief Records a revision that the store reports as its current one. The first one of an era
+    /// bounds what the copy can hold.
     void observe_revision(std::uint64_t revision) noexcept;
-    /// \brief Returns the position of something that was written at a revision.
+    /// \brief Returns the position of an entry that was written at `revision`.
     [[nodiscard]] std::uint64_t position_of(std::uint64_t revision) const noexcept;
-    /// \brief Returns the position at which the store is.
+    /// \brief Returns the position of the store when its current revision is `revision`.
     [[nodiscard]] std::uint64_t current_position(std::uint64_t revision) const noexcept;
-    /// \brief Returns the position of something in an answer that may lag: it may be of before the
-    /// copy.
+    /// \brief Returns the position of an entry in an answer that may lag, so that it may predate
+    /// the restore.
     [[nodiscard]] std::uint64_t lagging_position(std::uint64_t revision) const noexcept;
     [[nodiscard]] std::uint64_t era() const noexcept
     {
@@ -43,7 +43,8 @@
 private:
     std::uint64_t era_ = 0;
     bool era_is_known_ = false;
-    /// \brief The era began in this process's life: its first revision, once it is told.
+    /// \brief Whether the era began while this process ran; if so, its first revision is kept once
+    /// reported.
     bool store_was_restored_ = false;
     std::optional<std::uint64_t> first_revision_;
 };
--- a/include/plumdale/coordination/switch_answer.hpp
+++ b/include/plumdale/coordination/switch_answer.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 /// \file
-/// \brief What an operator is told of a switch.
+/// \brief The answer to an operator's switch of the preset.
 
 namespace plumdale::coordination
 {
@@ -16,10 +16,10 @@
 enum class switch_outcome : std::uint8_t
 {
     accepted,       ///< Held by enough other entry VMs.
-    not_accepted,   ///< Held by too few in time. It stays in force here and may still spread.
-    superseded,     ///< A later switch won everywhere; `stamp` is the winner's.
+    not_accepted,   ///< Held by too few VMs in time. It stays in force here and may still spread.
+    superseded,     ///< A later switch replaced it everywhere; `stamp` is the later one.
     unknown_preset, ///< Not published, or its content is not held here. Nothing changed.
-    not_allowed,    ///< The key is no operator's. Nothing changed.
+    not_allowed,    ///< The key belongs to no operator. Nothing changed.
     not_ready       ///< This entry VM has not caught up with its peers. Nothing changed.
 };
 
@@ -31,7 +31,7 @@
     state::preset_stamp stamp;
     /// \brief Other entry VMs known to hold it or a later one.
     std::vector<state::node_id> holders;
-    /// \brief Zones with members from which no holder is known.
+    /// \brief Zones that have members but no known holder.
     std::vector<state::zone_id> zones_missing;
 };
 
--- a/src/coordination/drain.cpp
+++ b/src/coordination/drain.cpp
@@ -11,8 +11,8 @@
 
 void drain::begin(state::time_point now) noexcept
 {
-    // An operator or an init system that signals twice is impatient, not entitled to cut answers:
-    // the bound counts from the first request, and nothing else changes.
+    // A second signal from an operator or an init system must not cut off answers: the limit counts
+    // from the first request, and nothing else changes.
     if (begun_)
     {
         return;
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t zone_gossip_fanout = 2;
 constexpr std::size_t fleet_gossip_fanout = 2;
-// A burst of news is sent together, which bounds what it costs.
+// Updates of one interval are sent together, which bounds the cost of a burst.
 constexpr state::duration gossip_interval = std::chrono::milliseconds{100};
 constexpr state::duration catching_up_time = std::chrono::seconds{10};
 
@@ -44,8 +44,8 @@
         next_round_at_ = now;
         last_gossip_ = now - gossip_interval;
     }
-    // A round that begins late by more than a round means that this process did not run, not that
-    // the others did not answer: without this a node that wakes declares half the fleet dead.
+    // A round that begins more than an interval late means that this process was paused, not that
+    // its peers did not answer: without this check, a resumed node declares half the fleet dead.
     if (now - next_round_at_ > settings_.probe_interval &&
         settings_.safeguards.has(safeguard::pause_recheck))
     {
@@ -90,7 +90,7 @@
     return !digests_match_ && now - started_at_ < catching_up_time;
 }
 
-// -- what arrives ------------------------------------------------------------------------------
+// -- received messages -------------------------------------------------------------------------
 
 void membership::receive(state::endpoint from, peer_message const& message, state::time_point now,
                          control_actions& actions)
@@ -150,7 +150,7 @@
         replaced_by_ = std::max(replaced_by_, update.incarnation_number);
         return;
     }
-    // Refuted: a later refutation replaces the suspicion, and even the death, in every table.
+    // A later refutation replaces the suspicion, or even the death, in every table.
     if (update.incarnation_number == self_.incarnation_number &&
         update.refutation >= self_.refutation && update.health > self_.health)
     {
@@ -174,8 +174,8 @@
     {
         return;
     }
-    // A member that drains has said the last of itself: it can't be marked as suspect, and is given
-    // the time to refute in further rounds of its watchers.
+    // `leaving` replaces `suspect`, so a draining member can't be marked as suspect; instead, it is
+    // given the suspicion time in further failed rounds before it is declared dead.
     bool const is_leaving = update.health == member_health::leaving;
     auto const extra = settings_.suspicion_time / settings_.probe_interval;
     bool const guarded = settings_.safeguards.has(safeguard::suspicion);
@@ -242,7 +242,7 @@
                        candidates.begin() + static_cast<std::ptrdiff_t>(most));
 }
 
-// -- spreading ---------------------------------------------------------------------------------
+// -- gossip ------------------------------------------------------------------------------------
 
 void membership::queue_update(state::node_id subject)
 {
--- a/src/coordination/membership_probing.cpp
+++ b/src/coordination/membership_probing.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-// The failure detector's rounds: whom this node probes, and how it answers probes.
+// The failure detector's rounds: which members this node probes, and how it answers probes.
 
 namespace plumdale::coordination
 {
@@ -12,7 +12,8 @@
 
 using state::member_health;
 
-// Each member is watched by this many of its zone, so that a zone that is cut off knows its own.
+// Each member is probed by this many of its zone, so that a zone that is cut off detects its own
+// failures.
 constexpr std::size_t zone_probe_targets = 2;
 constexpr std::size_t fleet_probe_targets = 1;
 constexpr std::size_t random_probe_targets = 1;
@@ -44,7 +45,7 @@
         now + with_jitter(is_fast_round_ ? catching_up_interval : settings_.probe_interval);
 }
 
-// Nodes that started together do not stay in step.
+// Jitter keeps nodes that started together from probing in step.
 state::duration membership::with_jitter(state::duration time)
 {
     std::uniform_int_distribution<state::duration::rep> distribution{time.count() * 9 / 10,
@@ -57,7 +58,7 @@
     for (probe const& each : probes_)
     {
         state::member_entry* const entry = table_.find(each.target);
-        // Rounds in a hurry are too short to tell silence from delay.
+        // Fast rounds are too short to tell a missing answer from a delayed one.
         if (entry == nullptr || !is_not_dead(entry->info) || is_fast_round_)
         {
             continue;
@@ -78,8 +79,9 @@
     {
         add_target(id);
     }
-    std::size_t const elsewhere = zone_probe_targets - probes_.size() + fleet_probe_targets;
-    for (state::node_id const id : ring_successors(fleet_scope(), fleet_ring, elsewhere))
+    std::size_t const fleet_target_count =
+        zone_probe_targets - probes_.size() + fleet_probe_targets;
+    for (state::node_id const id : ring_successors(fleet_scope(), fleet_ring, fleet_target_count))
     {
         add_target(id);
     }
@@ -111,7 +113,7 @@
     state::member_entry const* const entry = table_.find(target);
     if (entry != nullptr && entry->info.health == member_health::suspect)
     {
-        // It can refute only what it hears of.
+        // A member can refute a suspicion only once it has received it.
         message.members.push_back(entry->info);
     }
     send(to, std::move(message), actions);
@@ -122,18 +124,18 @@
     ping(member.datagrams, member.id, next_sequence_++, actions);
 }
 
-// Endpoints where nobody lives as far as is known: seeds, the platform's list and the dead. Two
-// halves that declared each other dead find together again through these.
+// Pings endpoints without a known live member: seeds, the platform's list and dead members. Through
+// these, two halves of the fleet that declared each other dead merge again.
 void membership::ping_candidates(control_actions& actions)
 {
-    bool const alone = random_members(fleet_scope(), 1, random_).empty();
-    if (!alone && round_ % rounds_per_candidate_ping != 0)
+    bool const is_isolated = random_members(fleet_scope(), 1, random_).empty();
+    if (!is_isolated && round_ % rounds_per_candidate_ping != 0)
     {
         return;
     }
     std::vector<state::endpoint> unknown = unknown_endpoints();
     std::shuffle(unknown.begin(), unknown.end(), random_);
-    unknown.resize(std::min(unknown.size(), alone ? candidates_when_isolated : 1));
+    unknown.resize(std::min(unknown.size(), is_isolated ? candidates_when_isolated : 1));
     for (state::endpoint const at : unknown)
     {
         ping(at, {}, next_sequence_++, actions);
@@ -154,8 +156,8 @@
     return unknown;
 }
 
-// A second direct probe and some through others: a lost datagram or a broken path between two
-// nodes is not a dead node.
+// Sends a second direct probe and some through other members: a lost datagram or a broken path
+// between two nodes does not mean that the node is dead.
 void membership::probe_indirectly(control_actions& actions)
 {
     for (probe const& each : probes_)
@@ -189,7 +191,7 @@
     state::member_entry const* const known = table_.find(message.sender.id);
     if (known != nullptr && known->info != message.sender)
     {
-        // The sender is believed suspect, dead or replaced: it has to know to refute or stop.
+        // The table has the sender as suspect, dead or replaced: it has to know, to refute or stop.
         ack.members.push_back(known->info);
     }
     if (message.digests.members != table_.digest())
@@ -215,7 +217,8 @@
 {
     for (probe& each : probes_)
     {
-        // The target is compared too: another VM may have taken the address and answer there.
+        // The target is compared too: another VM may have been given the address and answer from
+        // there.
         if (each.sequence == message.sequence && each.target == message.target)
         {
             each.answered = true;
@@ -247,8 +250,8 @@
     relayed_probes_.erase(relayed);
 }
 
-// One page follows the other, from one peer at a time, when this node has just started or when
-// tables stayed different for longer than news takes to spread.
+// Requests page after page, from one peer at a time, if this node has just started or if tables
+// have differed for longer than updates take to spread.
 void membership::request_next_page(state::endpoint from, peer_message const& message,
                                    state::time_point now, control_actions& actions)
 {
--- a/src/coordination/order_planner.cpp
+++ b/src/coordination/order_planner.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::uint64_t max_count = 0xffff;
 
-// Engines of one model in an order that all nodes derive alike and that a change moves little.
+// Returns the engines of one model in an order that is the same at all nodes and changes little
+// when an engine joins or leaves.
 [[nodiscard]] std::vector<upstream_view const*>
 ranked_engines(std::span<upstream_view const> upstreams, state::model_id model)
 {
@@ -49,7 +50,7 @@
                                        std::span<upstream_view const> upstreams)
 {
     std::vector<planned_order> plan;
-    std::map<state::model_id, std::size_t> taken;
+    std::map<state::model_id, std::size_t> assigned;
     std::map<state::model_id, std::uint32_t> percent;
     std::uint32_t rank = 0;
     for (state::engine_assignment const& each : preset.assignments)
@@ -57,13 +58,13 @@
         auto const engines = ranked_engines(upstreams, each.model);
         percent[each.model] = std::min(percent[each.model] + each.percent, 100U);
         std::size_t const end = (engines.size() * percent[each.model] + 99) / 100;
-        for (std::size_t i = taken[each.model]; i < end; ++i)
+        for (std::size_t i = assigned[each.model]; i < end; ++i)
         {
             state::engine_order order{fence_of(stamp), each.role, each.version, each.adapter};
             bool const loads = !each.version.empty() || !each.adapter.empty();
             plan.push_back({engines[i]->info.id, std::move(order), loads ? rank++ : 0});
         }
-        taken[each.model] = std::max(taken[each.model], end);
+        assigned[each.model] = std::max(assigned[each.model], end);
     }
     return plan;
 }
@@ -82,7 +83,7 @@
     }
     std::map<state::upstream_id, row> rows;
     // A node that has not caught up may know neither the preset in force nor the other members: it
-    // would take itself for responsible and order engines back to an older preset.
+    // would consider itself responsible and order engines back to an older preset.
     if (!fleet.ready)
     {
         rows_.clear();
@@ -93,9 +94,9 @@
         upstream_view const* const view = fleet.find_upstream(each.upstream);
         row next{
             std::move(each), view->info.address, view->info.fences_orders, now, now, false, false};
-        std::uint32_t const turn =
+        std::uint32_t const load_batch =
             next.planned.load_rank / std::max(settings_.weight_loads_at_once, 1U);
-        next.not_before = in_force_since_ + settings_.weight_load_time * turn;
+        next.not_before = in_force_since_ + settings_.weight_load_time * load_batch;
         auto const known = rows_.find(next.planned.upstream);
         if (known != rows_.end() && known->second.planned.order == next.planned.order)
         {
@@ -116,8 +117,8 @@
         return;
     }
     row& each = at->second;
-    // Only the answer to a question asked since the last pause and for the plan in force is acted
-    // on: an engine that ignores fencing numbers would follow a node that slept through a switch.
+    // Only the answer to a read sent since the last pause and for the plan in force is acted on: an
+    // engine that ignores fencing numbers would follow a node that was paused during a switch.
     bool const fresh = std::exchange(each.read_pending, false) ||
                        !settings_.safeguards.has(safeguard::pause_recheck);
     state::engine_order wanted = each.planned.order;
@@ -125,10 +126,10 @@
     {
         wanted.fence = 0;
     }
-    // An engine that checks may already follow a later switch than is known here.
-    bool const overtaken = each.checks_fence && event.order.fence > wanted.fence;
+    // An engine that checks fencing numbers may already follow a later switch than this node knows.
+    bool const is_superseded = each.checks_fence && event.order.fence > wanted.fence;
     bool const follows = same_assignment(event.order, wanted);
-    if (!fresh || overtaken || follows || now < each.not_before ||
+    if (!fresh || is_superseded || follows || now < each.not_before ||
         !is_responsible_for(event.upstream))
     {
         return;
@@ -174,7 +175,7 @@
     }
 }
 
-// Ordered once and never looked at again, an engine that starts anew would stay without an order.
+// If engines were ordered once and never read again, a restarted one would stay without an order.
 void order_planner::read_or_order(row& each, control_actions& actions) const
 {
     if (settings_.safeguards.has(safeguard::order_readback))
--- a/src/coordination/preset_agreement.cpp
+++ b/src/coordination/preset_agreement.cpp
@@ -34,10 +34,10 @@
         switched_in_outage_ && stamp_.count > 0 && event.revision > stamp_.revision;
     if (unseen_in_outage && settings_.safeguards.has(safeguard::outage_switch))
     {
-        // The service was down here when the operator switched, and this is its first answer
-        // since: what it shows now was published before it could be read, most likely before the
-        // operator switched. By its revision alone it would undo an accepted switch. The switch is
-        // carried over to that revision; whatever is published from now on replaces it.
+        // The service was unreachable when the operator switched, and this is its first answer
+        // since: its revision was most likely published before the switch, but is greater and would
+        // undo an accepted switch. The switch is therefore moved to that revision; whatever is
+        // published from now on replaces it.
         stamp = stamp_;
         stamp.revision = event.revision;
     }
@@ -95,8 +95,8 @@
 
 void preset_agreement::merge_stamp(state::preset_stamp stamp)
 {
-    // Joined by maximum: a stale read, a waking node or a datagram that took long can only lose.
-    // Replacing instead would undo a switch wherever an old copy happens to arrive last.
+    // Stamps are joined by maximum, so a stale read, a resumed node or a delayed datagram has no
+    // effect. Replacing instead would undo a switch wherever an old copy arrives last.
     bool const joins = settings_.safeguards.has(safeguard::stamp_join);
     state::preset_stamp const next = joins ? state::join(stamp_, stamp) : stamp;
     if (next == stamp_ || !next)
@@ -111,7 +111,7 @@
     apply_stamp();
 }
 
-// A switch to a preset that is not held yet waits for its content; until then the preset before it
+// A switch to a preset that is not held yet waits for its content; until then the previous preset
 // stays in force, so that there is always exactly one.
 void preset_agreement::apply_stamp()
 {
@@ -183,10 +183,10 @@
     return has_seeds || members_.entries().size() > 1;
 }
 
-// A node without memory that served from the service alone would put an older preset in force than
-// its peers have, whenever the service is stale or an operator has switched without it. So it first
-// hears peers that serve. Only when none answers in time does it go by the service alone, or, after
-// a pause, by what it knew.
+// A restarted node that relied on the service alone would put an older preset in force than its
+// peers have, whenever the service is stale or an operator has switched without it. So it waits for
+// messages of peers that serve. Only if too few arrive in time does it rely on the service alone
+// or, after a pause, on what it knew before.
 void preset_agreement::check_caught_up(state::time_point now)
 {
     if (caught_up_ || !started_)
@@ -226,8 +226,8 @@
     return caught_up_ && in_force_ && content_.customers() != nullptr;
 }
 
-// Engines ordered for a switch that is then lost with the one VM that took it would follow a preset
-// that nobody has in force, under a fencing number that nobody reaches.
+// If a switch were lost with the one VM that holds it, engines already ordered for it would follow
+// a preset that no VM has in force, under a fencing number that no other VM's orders reach.
 bool preset_agreement::in_force_is_durable() const noexcept
 {
     return in_force_.count == 0 ||
@@ -280,7 +280,7 @@
 
 bool preset_agreement::has_enough_holders(pending_switch const& pending) const
 {
-    // Accepted while this VM alone holds it, a switch would be lost with this VM after the operator
+    // A switch accepted while only this VM holds it would be lost with this VM, after the operator
     // was told that it is in force.
     if (!settings_.safeguards.has(safeguard::acceptance_count))
     {
@@ -311,7 +311,7 @@
 
 void preset_agreement::resolve_switches(state::time_point now, control_actions& actions)
 {
-    auto const settled = [&](pending_switch const& each)
+    auto const try_resolve = [&](pending_switch const& each)
     {
         state::duration const waited = now - each.received_at;
         switch_outcome outcome = switch_outcome::not_accepted;
@@ -330,7 +330,7 @@
         actions.emplace_back(answer_operator{each.exchange, make_answer(each, outcome)});
         return true;
     };
-    std::erase_if(pending_, settled);
+    std::erase_if(pending_, try_resolve);
 }
 
 std::vector<state::member> preset_agreement::members_to_poll(state::time_point now)
--- a/src/coordination/store_position_tracker.cpp
+++ b/src/coordination/store_position_tracker.cpp
@@ -25,7 +25,8 @@
     first_revision_ = first_revision_.value_or(revision);
 }
 
-// A process that has started in this era has nothing of before that it could confuse.
+// A process that started in this era holds no entries of an earlier one, so it needs no
+// distinction.
 std::uint64_t store_position_tracker::position_of(std::uint64_t revision) const noexcept
 {
     bool const may_be_copied =
--- a/tests/coordination/test_drain.cpp
+++ b/tests/coordination/test_drain.cpp
@@ -5,9 +5,8 @@
 using namespace plumdale;
 using namespace plumdale::testing;
 
-// An entry VM is told to shut down while callers read answers from it. Ended at once, it would cut
-// them off in the middle. It turns its health first, refuses new requests, and ends when the last
-// answer is whole.
+// Guards against a shutdown that cuts off answers which callers are still reading. A draining VM
+// first fails its health check, refuses new requests, and ends once the last answer is complete.
 TEST_CASE("a drain waits for what is in flight", "[drain]")
 {
     auto const waits = [](node_settings const& settings)
@@ -33,8 +32,8 @@
     CHECK_FALSE(waits(off));
 }
 
-// An impatient operator signals twice. The second signal must not cut what the first one spared.
-TEST_CASE("a second request to drain does not cut", "[drain]")
+// Guards against a second signal that ends the process while requests are in flight.
+TEST_CASE("a second request to drain does not cut off answers", "[drain]")
 {
     fleet_loop loop{3, 1, 2};
     publish_base_configuration(loop);
@@ -47,7 +46,7 @@
     CHECK_FALSE(loop.nodes()[1].finished);
 }
 
-TEST_CASE("a drain ends at its bound", "[drain]")
+TEST_CASE("a drain ends at its limit", "[drain]")
 {
     node_settings settings;
     settings.drain_limit = 5s;
--- a/tests/coordination/test_identity_signer.cpp
+++ b/tests/coordination/test_identity_signer.cpp
@@ -5,10 +5,10 @@
 using namespace plumdale;
 using namespace plumdale::coordination;
 
-// The fleet's key is changed while a caller holds an identity. Each VM is restarted with the new
-// key and the old one among those it accepts; the caller's identity stays genuine until the old key
-// goes.
-TEST_CASE("an identity outlives a change of the fleet's key", "[identity]")
+// Guards against rejected identities when the fleet's key is changed: each VM restarts with the new
+// key and still accepts the old one, so identities that callers hold stay valid until it is
+// removed.
+TEST_CASE("an identity stays valid when the fleet's key is changed", "[identity_signer]")
 {
     std::string const old_key = "an example fleet key";
     state::generation_id const id = identity_signer{old_key}.mint({1}, {2}, 3);
@@ -17,7 +17,7 @@
     CHECK_FALSE(identity_signer{"another fleet key"}.verify(id));
 }
 
-TEST_CASE("a signed identity verifies, and a changed one does not", "[identity]")
+TEST_CASE("a signed identity verifies, and a changed one does not", "[identity_signer]")
 {
     identity_signer const signer{"an example fleet key"};
     state::generation_id id = signer.mint(state::node_id{1}, state::incarnation{2}, 3);
--- a/tests/coordination/test_leaving_marks.cpp
+++ b/tests/coordination/test_leaving_marks.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("marks only grow within an uptime", "[leaving_marks]")
+TEST_CASE("marks only grow within an incarnation", "[leaving_marks]")
 {
     leaving_marks marks;
     CHECK(marks.add({{1}, {5}}, 9));
@@ -56,7 +56,7 @@
     CHECK(marks.digest() == leaving_marks{}.digest());
 }
 
-TEST_CASE("marks beyond the capacity push out the oldest uptimes", "[leaving_marks]")
+TEST_CASE("marks beyond the capacity evict those of the oldest incarnations", "[leaving_marks]")
 {
     leaving_marks marks;
     for (std::uint64_t i = 1; i <= leaving_marks::capacity + 1; ++i)
@@ -67,10 +67,10 @@
     CHECK(marks.is_leaving({2}, {2}));
 }
 
-// An engine is reclaimed. One entry VM hears it from the engine; the platform's list goes on saying
-// for half a minute that the engine is well. Callers whose work is sent there lose it when the
-// engine goes. The mark spreads between the entry VMs, and no later list takes it back.
-TEST_CASE("an upstream that leaves gets no new work though the list lags", "[leaving_marks]")
+// Guards against lost work on an engine that is reclaimed: one entry VM learns of it from the
+// engine, but the platform's list shows the engine as healthy for another 30 s. The mark spreads
+// between entry VMs, and no later list revokes it.
+TEST_CASE("an upstream that leaves gets no new work while the list lags", "[leaving_marks]")
 {
     auto const stops = [](node_settings const& settings)
     {
@@ -95,8 +95,9 @@
     CHECK_FALSE(stops(off));
 }
 
-// A zone is cut off while the engine leaves. Each side that has a witness stops at once; the other
-// learns of it when the cut heals, through digests, though the news has long been told.
+// Guards against a mark that never reaches a zone that was partitioned while the engine left:
+// gossip of the mark ended long before the partition heals, so it has to be sent because digests
+// differ.
 TEST_CASE("a mark reaches a zone that was cut off", "[leaving_marks]")
 {
     fleet_loop loop{9, 3, 2};
@@ -139,7 +140,7 @@
     CHECK(none_accepts(loop, 1));
 }
 
-TEST_CASE("a later uptime of the upstream gets work again", "[leaving_marks]")
+TEST_CASE("a later incarnation of the upstream gets work again", "[leaving_marks]")
 {
     fleet_loop loop{9, 3, 3};
     loop.platform.list.upstreams = {engine(1, 5)};
--- a/tests/coordination/test_membership.cpp
+++ b/tests/coordination/test_membership.cpp
@@ -63,11 +63,11 @@
     }
 }
 
-// A node hears that a member is suspected, and its process sleeps. The member refutes meanwhile. On
-// waking the suspicion has long run out by the clock: without a check the node would declare the
-// member dead and tell everyone. It gives what it suspected before the sleep its time anew. Its
-// peers, which declared the sleeper dead, take it back.
-TEST_CASE("a node that paused declares nobody dead and is taken back", "[membership]")
+// Guards against a false death after a pause: a node receives a suspicion and is paused while the
+// member refutes it. When the node resumes, the suspicion has expired by the clock, so the node
+// restarts it instead of declaring the member dead. Peers that declared the paused node dead accept
+// it again.
+TEST_CASE("a node that was paused declares no member dead and is accepted again", "[membership]")
 {
     auto const declared_dead = [](node_settings const& settings, std::uint64_t seed)
     {
@@ -102,8 +102,8 @@
     }
 }
 
-// One datagram path loses everything for two rounds while the member lives. Declared dead at once,
-// its keys and its share of the work would move for nothing; suspected, it hears of it and refutes.
+// Guards against live members declared dead when all datagrams are lost for two rounds: their keys
+// and their share of the work would move needlessly. A member that is only suspected can refute.
 TEST_CASE("a member that is wrongly suspected refutes", "[membership]")
 {
     auto const declared_dead = [](node_settings const& settings)
@@ -139,11 +139,11 @@
     CHECK(declared_dead(off));
 }
 
-// An entry VM is replaced at the same address while news of the old process is still on its way.
-// Old news taken for new would make peers send to a process that is gone.
-TEST_CASE("news of an older incarnation does not replace that of a newer one", "[membership]")
+// Guards against delayed updates about a process that was replaced at the same address: applied,
+// they would make peers send to a process that no longer exists.
+TEST_CASE("state of an older incarnation does not replace that of a newer one", "[membership]")
 {
-    auto const is_fooled = [](node_settings const& settings)
+    auto const is_replaced = [](node_settings const& settings)
     {
         fleet_loop loop{9, 3, 4, settings};
         publish_base_configuration(loop);
@@ -158,27 +158,27 @@
         old.health = state::member_health::dead;
         message.members = {old};
         loop.send(5, datagram_received{fleet_loop::endpoint_of(3), message});
-        bool fooled = false;
+        bool replaced = false;
         loop.run_until(loop.now() + 1s,
                        [&]
                        {
                            auto const fleet = loop.fleet(5);
                            auto const* const member = fleet->find_member(fleet_loop::id_of(2));
-                           fooled =
-                               fooled || member == nullptr || member->incarnation_number != newest;
-                           return fooled;
+                           replaced = replaced || member == nullptr ||
+                                      member->incarnation_number != newest;
+                           return replaced;
                        });
-        return fooled;
+        return replaced;
     };
-    CHECK_FALSE(is_fooled({}));
+    CHECK_FALSE(is_replaced({}));
     node_settings off;
     off.safeguards = off.safeguards.without(safeguard::member_incarnation);
-    CHECK(is_fooled(off));
+    CHECK(is_replaced(off));
 }
 
-// A process sleeps, the platform gives its address to a new VM, and the old process wakes. Both
-// would answer for the same identity. The old one learns from any peer that it was replaced, says
-// so, and takes no new work.
+// Guards against two processes that answer for the same identity: a process is paused, the platform
+// assigns its address to a new VM, and the process resumes. It learns of its replacement from any
+// peer, reports it, and accepts no new work.
 TEST_CASE("a process whose address was taken stops taking work", "[membership]")
 {
     fleet_loop loop{9, 3, 5};
@@ -195,8 +195,8 @@
         [&] { return static_cast<bool>(loop.nodes()[6].replaced_by) && !loop.fleet(6)->ready; }));
 }
 
-// The platform's list still names VMs that are gone, and lacks some that live. Callers must not be
-// sent to the former, nor the latter be left out.
+// Guards against a platform list that contains VMs that no longer exist and lacks some live ones:
+// the former must not become members, and the latter must remain members.
 TEST_CASE("a list that lags adds no member and loses none", "[membership]")
 {
     node_settings settings;
@@ -211,7 +211,7 @@
     CHECK(loop.fleet(0)->members.size() == 8);
 }
 
-TEST_CASE("halves that declared each other dead find together again", "[membership]")
+TEST_CASE("partitions that declared each other dead merge again", "[membership]")
 {
     fleet_loop loop{9, 3, 7};
     publish_base_configuration(loop);
--- a/tests/coordination/test_order_planner.cpp
+++ b/tests/coordination/test_order_planner.cpp
@@ -60,7 +60,7 @@
 
 } // namespace
 
-TEST_CASE("the plan follows from stamp and engines alone", "[order_planner]")
+TEST_CASE("the plan depends on stamp and engines alone", "[order_planner]")
 {
     std::vector<upstream_view> views;
     for (std::uint64_t i = 1; i <= 10; ++i)
@@ -113,11 +113,11 @@
     }
 }
 
-// A node responsible for an engine asks it, sleeps through a switch, and wakes with the engine's
-// old answer in hand. The engine ignores fencing numbers. Acting on the old answer the node would
-// order it back to the old preset, and callers would find the wrong model version. What was asked
-// before the pause is dropped, and the node asks anew once it has caught up.
-TEST_CASE("a node that slept gives no order from before its sleep", "[order_planner]")
+// Guards against an order from before a pause: a node reads an engine, is paused during a switch,
+// and then receives the old answer. If the engine ignores fencing numbers, acting on that answer
+// would return it to the old preset and the wrong model version. Reads sent before the pause are
+// dropped, and the node reads again once it has caught up.
+TEST_CASE("a node that was paused sends no order from before the pause", "[order_planner]")
 {
     auto const orders_given = [](safeguard_set safeguards)
     {
@@ -148,9 +148,9 @@
     CHECK(orders_given(safeguard_set{}.without(safeguard::pause_recheck)) == 1);
 }
 
-// An engine that checks fencing numbers already follows a later switch than this node knows. The
-// order is not given; with its number left out, the engine could not tell it from a new one.
-TEST_CASE("an order carries the number of its stamp", "[order_planner]")
+// Guards against an order without a fencing number: an engine that checks such numbers and follows
+// a later switch than this node knows couldn't tell the old order from a new one.
+TEST_CASE("an order carries the fencing number of its stamp", "[order_planner]")
 {
     auto const fence_sent = [](safeguard_set safeguards)
     {
--- a/tests/coordination/test_preset_agreement.cpp
+++ b/tests/coordination/test_preset_agreement.cpp
@@ -94,10 +94,11 @@
     CHECK(loop.run_until(loop.now() + 2s, [&] { return in_force_everywhere(loop, "peak"); }));
 }
 
-// The service goes down, an operator switches through one entry VM, and the service comes back with
-// the revision from before. A caller would see the peak's bounds vanish in mid peak if a reader
-// took what it read last; joined by maximum, the old revision loses at every node.
-TEST_CASE("a service that comes back old does not undo a switch", "[preset_agreement]")
+// Guards against a switch that is undone when the service returns with an older revision after an
+// outage. A reader that took its last read would end the peak preset in mid peak; joined by
+// maximum, the older revision has no effect at any node.
+TEST_CASE("a service that returns with an older revision does not undo a switch",
+          "[preset_agreement]")
 {
     auto const stays = [](node_settings const& settings)
     {
@@ -106,7 +107,7 @@
         loop->run_for(6s);
         switch_at(*loop, 4, 1, "peak");
         loop->run_for(4s);
-        bool const came = in_force_everywhere(*loop, "peak");
+        bool const was_applied = in_force_everywhere(*loop, "peak");
         loop->platform.published[5] = loop->platform.published[6];
         loop->platform.published.erase(6);
         std::get<switch_published>(loop->platform.published[5]).revision = 5;
@@ -114,16 +115,16 @@
         loop->stop(8);
         loop->start(8);
         loop->run_for(30s);
-        return came && in_force_everywhere(*loop, "peak");
+        return was_applied && in_force_everywhere(*loop, "peak");
     };
     CHECK(stays({}));
     CHECK_FALSE(stays(without(safeguard::stamp_join)));
 }
 
-// An entry VM is replaced while the service is stale and an operator has switched without it. The
-// new process knows nothing; serving from the service alone it would run callers under the preset
-// from before, though every other node has left it. It waits for peers that serve.
-TEST_CASE("a node without memory serves only after it caught up", "[preset_agreement]")
+// Guards against a new process that serves the previous preset: an entry VM is replaced while the
+// service is stale and lacks an operator's switch. The process waits for peers that serve instead
+// of relying on the service alone.
+TEST_CASE("a restarted node serves only after it has caught up", "[preset_agreement]")
 {
     auto const served_old = [](node_settings const& settings, std::uint64_t seed)
     {
@@ -141,7 +142,7 @@
                                           fleet->in_force.preset == preset_named("ordinary");
                                });
     };
-    // Whether the service or a peer is heard first is chance.
+    // Whether the service or a peer answers first depends on the seed.
     int served_old_unguarded = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -151,7 +152,8 @@
     CHECK(served_old_unguarded > 0);
 }
 
-TEST_CASE("a restarted node is ready again soon, also with the service down", "[preset_agreement]")
+TEST_CASE("a restarted node is ready within five seconds, even with the service down",
+          "[preset_agreement]")
 {
     auto loop = settled_fleet(5);
     loop->platform.down = true;
@@ -163,16 +165,16 @@
     CHECK_FALSE(loop->fleet(2)->customers.empty());
 }
 
-TEST_CASE("one entry VM alone serves by what the service says", "[preset_agreement]")
+TEST_CASE("a single entry VM serves what the service publishes", "[preset_agreement]")
 {
     fleet_loop loop{1, 1, 6};
     publish_base_configuration(loop);
     CHECK(loop.run_until(start_time + 5s, [&] { return loop.fleet(0)->ready; }));
 }
 
-// The operator is told "accepted" and the one VM that holds the switch dies at that moment. If one
-// copy were enough, the fleet would stay on the old preset though the operator was told otherwise;
-// accepted only once others hold it, it survives.
+// Guards against an accepted switch that is lost: the only VM that holds it fails right after the
+// operator's answer, and the fleet stays on the old preset. A switch is accepted only once other
+// VMs hold it.
 TEST_CASE("an accepted switch survives the loss of the VM that took it", "[preset_agreement]")
 {
     auto const survives = [](node_settings settings)
@@ -200,9 +202,9 @@
     CHECK_FALSE(survives(without(safeguard::acceptance_count)));
 }
 
-// Two operators switch at two VMs within a millisecond. Both presets spread; each node joins them,
-// so the same one wins everywhere. The loser must not be told that its switch is in force.
-TEST_CASE("of two operators that race one wins everywhere and the other is told",
+// Two operators switch at two VMs within a millisecond. Each node joins both stamps, so the same
+// one is in force everywhere. Guards against an answer that reports the other as in force.
+TEST_CASE("of two concurrent switches one is in force everywhere and the other is superseded",
           "[preset_agreement]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
@@ -219,9 +221,10 @@
     }
 }
 
-// A zone is cut off and each half switches. Both go on under their own preset, as they must, since
-// neither can know of the other. After the cut heals one of the two is in force everywhere.
-TEST_CASE("two halves that switched agree after the cut", "[preset_agreement]")
+// Guards against lasting disagreement when both sides of a partition switch. Each side serves its
+// own preset, as it can't know of the other; once the partition heals, one of the two is in force
+// everywhere.
+TEST_CASE("two partitions that switched agree once the partition heals", "[preset_agreement]")
 {
     auto loop = settled_fleet(8);
     loop->connected = [](std::size_t a, std::size_t b)
@@ -246,10 +249,10 @@
                           [&] { return in_force_everywhere(*loop, "maintenance"); }));
 }
 
-// A revision was published but the service went down before anyone read it; then an operator
-// switches, and is told that it is accepted. When the service is back its revision is the greater
-// one, though it is the earlier decision. It must not undo the switch; what is published later
-// must.
+// Guards against a revision that undoes a later switch: it was published, but the service went down
+// before any VM read it; then an operator's switch was accepted. When the service is back, the
+// unread revision is greater but was decided earlier. Only what is published later may replace the
+// switch.
 TEST_CASE("a revision published unseen before an outage does not undo the switch in it",
           "[preset_agreement]")
 {
@@ -287,7 +290,8 @@
     CHECK(in_force_everywhere(*loop, "peak"));
 }
 
-TEST_CASE("a switch by a stranger or to an unknown preset changes nothing", "[preset_agreement]")
+TEST_CASE("a switch by an unknown operator or to an unknown preset changes nothing",
+          "[preset_agreement]")
 {
     auto loop = settled_fleet(11);
     switch_at(*loop, 0, 9, "peak");
@@ -298,9 +302,9 @@
     CHECK(in_force_everywhere(*loop, "ordinary"));
 }
 
-// A process sleeps through a switch and wakes with the old preset in memory. It must neither bring
-// the old one back elsewhere nor take new requests under it.
-TEST_CASE("a node that slept through a switch serves nothing under the old preset",
+// Guards against a process that is paused during a switch and resumes with the old preset in
+// memory: it must neither spread the old preset nor serve new requests under it.
+TEST_CASE("a node that was paused during a switch serves nothing under the old preset",
           "[preset_agreement]")
 {
     auto const served_old = [](node_settings const& settings, bool pause_reported)
--- a/tests/coordination/test_preset_recovery.cpp
+++ b/tests/coordination/test_preset_recovery.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("a switch outlives the replacement of all VMs one by one", "[preset_recovery]")
+TEST_CASE("a switch survives the replacement of all VMs one by one", "[preset_recovery]")
 {
     auto loop = switched_fleet();
     for (std::size_t i = 0; i < node_count; ++i)
@@ -56,7 +56,7 @@
     CHECK(ready_with(*loop, "peak") == node_count);
 }
 
-TEST_CASE("a switch outlives the replacement of half of the VMs at once", "[preset_recovery]")
+TEST_CASE("a switch survives the replacement of half of the VMs at once", "[preset_recovery]")
 {
     auto loop = switched_fleet();
     replace(*loop, 0, node_count / 2);
@@ -64,9 +64,10 @@
     CHECK(ready_with(*loop, "peak") == node_count);
 }
 
-// Nobody is left who knows the operator's switch or any content, and the service is down: no VM may
-// make up a preset. They refuse as not ready, and serve what is published once it can be read.
-TEST_CASE("after all VMs were replaced at once nobody serves before the service is back",
+// Guards against VMs that serve without a known preset: no VM has the operator's switch or any
+// content, and the service is down. They refuse as not ready, and serve what is published once it
+// can be read.
+TEST_CASE("after all VMs were replaced at once no VM serves before the service is back",
           "[preset_recovery]")
 {
     auto loop = switched_fleet();
--- a/tests/coordination/test_store_position_tracker.cpp
+++ b/tests/coordination/test_store_position_tracker.cpp
@@ -14,32 +14,32 @@
     CHECK(before.value() < after.value());
     CHECK(state::revision_in(before.value()) == 1'000'000);
     CHECK(state::era_in(after.value()) == 4);
-    // A store that tells no era keeps its revisions as they are.
+    // A store that reports no era keeps its revisions as positions.
     CHECK(state::store_position{0, 77}.value() == 77);
 }
 
-TEST_CASE("what a copy holds is older than what was heard before, what is written since is newer",
+TEST_CASE("entries of a copy are older than entries received before, later ones are newer",
           "[store_era]")
 {
     store_position_tracker history;
     CHECK_FALSE(history.advance_era(2));
     history.observe_revision(100);
-    std::uint64_t const heard = history.position_of(97);
+    std::uint64_t const received = history.position_of(97);
     CHECK_FALSE(history.advance_era(2));
     CHECK(history.advance_era(3));
     history.observe_revision(90);
-    CHECK(history.position_of(88) < heard);
-    CHECK(history.position_of(91) > heard);
+    CHECK(history.position_of(88) < received);
+    CHECK(history.position_of(91) > received);
     history.observe_revision(95);
-    CHECK(history.position_of(91) > heard);
-    CHECK(history.current_position(90) > heard);
+    CHECK(history.position_of(91) > received);
+    CHECK(history.current_position(90) > received);
     CHECK(history.lagging_position(99) < history.current_position(1));
-    // An answer that was on its way.
+    // A delayed answer of the previous era.
     CHECK_FALSE(history.advance_era(2));
     CHECK(history.era() == 3);
 }
 
-TEST_CASE("a store that tells no era is read as it is", "[store_era]")
+TEST_CASE("a store that reports no era keeps its revisions as positions", "[store_era]")
 {
     store_position_tracker history;
     history.observe_revision(10);
@@ -48,7 +48,8 @@
     CHECK(history.lagging_position(9) == 9);
 }
 
-// Guards against an order that a peer's set of the new era drops before it can be written again.
+// Guards against an order that is lost because a peer's set of the new era lacks it before it can
+// be written again.
 TEST_CASE("the first set of an era drops no order, the next one does", "[store_era][evacuation]")
 {
     constexpr auto east = state::id_from_name<state::zone_id>("east");
