--- a/include/plumdale/coordination/balancing_strategy.hpp
+++ b/include/plumdale/coordination/balancing_strategy.hpp
@@ -7,12 +7,12 @@
 #include <span>
 
 /// \file
-/// \brief Simple ways to choose among upstreams that have room; baselines of the measures.
+/// \brief Simple strategies to choose among upstreams that have capacity; baselines for benchmarks.
 
 namespace plumdale::coordination
 {
 
-/// \brief Chooses one of some upstreams.
+/// \brief Chooses one of several upstreams.
 class balancing_strategy
 {
 public:
@@ -26,7 +26,7 @@
     choose(std::span<upstream_view const* const> candidates) = 0;
 };
 
-/// \brief One after the other.
+/// \brief Chooses the upstreams in turn.
 class round_robin final : public balancing_strategy
 {
 public:
@@ -37,7 +37,7 @@
     std::size_t next_ = 0;
 };
 
-/// \brief The one with the fewest streams of this entry VM.
+/// \brief Chooses the upstream with the fewest streams of this entry VM.
 class least_connections final : public balancing_strategy
 {
 public:
@@ -45,7 +45,7 @@
     choose(std::span<upstream_view const* const> candidates) override;
 };
 
-/// \brief The one whose report shows the least memory in use.
+/// \brief Chooses the upstream whose report shows the least memory in use.
 class least_reported_load final : public balancing_strategy
 {
 public:
@@ -53,7 +53,7 @@
     choose(std::span<upstream_view const* const> candidates) override;
 };
 
-/// \brief Of two at random, the one whose report shows less memory in use.
+/// \brief Chooses, of two random upstreams, the one whose report shows less memory in use.
 class two_choices final : public balancing_strategy
 {
 public:
@@ -65,8 +65,8 @@
     std::minstd_rand random_;
 };
 
-/// \brief Returns the part of an upstream's memory that its report shows in use; 0 without a
-/// report.
+/// \brief Returns the fraction of an upstream's memory that its report shows in use; 0 without
+/// a report.
 [[nodiscard]] double reported_utilization(upstream_gauge const& gauge) noexcept;
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/dispatch_policy.hpp
+++ b/include/plumdale/coordination/dispatch_policy.hpp
@@ -18,11 +18,11 @@
 enum class dispatch_verdict : std::uint8_t
 {
     dispatch, ///< Send it to `upstream` now.
-    wait,     ///< Ask again at `reevaluate_at`, or earlier when a stream of the model ends.
+    wait,     ///< Decide again at `reevaluate_at`, or earlier when a stream of the model ends.
     refuse    ///< Refuse at once with `kind` and `retry_after`.
 };
 
-/// \brief Answer of a dispatch policy.
+/// \brief Result of `dispatch_policy::decide`.
 struct dispatch_decision
 {
     dispatch_verdict verdict = dispatch_verdict::refuse;
@@ -32,7 +32,7 @@
     state::time_point reevaluate_at = state::never;
 };
 
-/// \brief What a policy may know of a request.
+/// \brief A request as a policy sees it, with its previous attempts.
 struct dispatch_attempt
 {
     state::request const& request;
@@ -50,10 +50,10 @@
     failed
 };
 
-/// \brief Decides for one shard; told of every start, token and end so that it can account.
+/// \brief Decides for one shard; notified of every start, token and end to account for load.
 ///
-/// One object for each shard, called from that shard's thread only; what policies of several shards
-/// share goes through the atomics of `upstream_gauge` or through parts that say so.
+/// One object for each shard, called from that shard's thread only. Policies of several shards
+/// share state only through the atomics of `upstream_gauge` and through parts documented as shared.
 class dispatch_policy
 {
 public:
--- a/include/plumdale/coordination/error_budget_tracker.hpp
+++ b/include/plumdale/coordination/error_budget_tracker.hpp
@@ -18,14 +18,14 @@
 namespace plumdale::coordination
 {
 
-/// \brief What callers are promised, as shares of good events.
+/// \brief Service-level objectives; the target of each is a share of good events.
 enum class objective : std::uint8_t
 {
     first_token,  ///< Time to the first token.
     token_gap,    ///< Time between two tokens.
-    whole_answer, ///< Answers that began and came whole.
+    whole_answer, ///< Answers that began and were delivered completely.
     admission,    ///< Requests that were not refused.
-    count         ///< Number of objectives; none itself.
+    count         ///< Number of objectives; not an objective.
 };
 
 inline constexpr std::size_t objective_count = static_cast<std::size_t>(objective::count);
@@ -36,11 +36,11 @@
     std::string_view name;
     /// \brief Share of events that must be good, 0 to 1.
     double share = 0.0;
-    /// \brief Longest time that is good; zero for objectives without one.
+    /// \brief Longest time that counts as good; zero for objectives without a time limit.
     state::duration limit{};
 };
 
-/// \brief Number of windows, and of slots that each one moves on by.
+/// \brief Number of windows, and of slots that each window is divided into.
 inline constexpr std::size_t error_budget_window_count = 4;
 inline constexpr std::size_t slots_per_window = 12;
 
@@ -55,11 +55,11 @@
     std::array<state::duration, error_budget_window_count> windows{
         std::chrono::minutes{1}, std::chrono::minutes{5}, std::chrono::hours{1},
         std::chrono::hours{6}};
-    /// \brief Rows kept by name; further events share one row without service and customer.
+    /// \brief Rows that have a key; events of further keys share one row with an empty key.
     std::size_t max_rows = 4'096;
 };
 
-/// \brief What a row counts for.
+/// \brief Service and customer whose events a row counts.
 struct error_budget_key
 {
     state::model_id service;
@@ -75,10 +75,10 @@
     whole,
     broken,
     refused,
-    left ///< The caller went away, or its request was wrong: counts for nothing.
+    left ///< The caller disconnected or its request was invalid; not counted.
 };
 
-/// \brief Returns what an error counts for; `began` says whether an answer had begun.
+/// \brief Returns the outcome that an error counts as; `began` states whether an answer had begun.
 [[nodiscard]] answer_outcome answer_outcome_for(state::error_kind kind, bool began) noexcept;
 
 struct event_counts
@@ -87,8 +87,8 @@
     std::uint64_t bad = 0;
 };
 
-/// \brief Returns the share of bad events over the share that the goal allows: at 1 the budget
-/// lasts just as long as the window. Zero without events.
+/// \brief Returns the share of bad events divided by the share that the target allows: at 1 the
+/// budget lasts exactly as long as the window. Zero without events.
 [[nodiscard]] double burn_rate(event_counts count, double share) noexcept;
 
 /// \brief One objective in one window; `slots` run from the oldest to the newest.
@@ -98,10 +98,10 @@
     std::array<event_counts, slots_per_window> slots{};
 };
 
-/// \brief Quantiles in milliseconds over the process's whole life; `samples` weighs them.
+/// \brief Quantiles in milliseconds since the process started; `samples` is the weight in a merge.
 struct latency_quantiles
 {
-    /// \brief Samples that the estimate needs before it says anything.
+    /// \brief Samples that the estimator needs before its quantiles are valid.
     static constexpr std::uint64_t min_samples = 9;
 
     std::uint64_t samples = 0;
@@ -127,17 +127,17 @@
 /// \brief Rows in the order of their keys.
 using error_budget_report = std::vector<error_budget_row>;
 
-/// \brief Joins the reports of several threads taken at the same time; counts are added, quantiles
-/// averaged by their samples.
+/// \brief Merges the reports of several threads taken at the same time; counts are added, quantiles
+/// averaged with their samples as weights.
 [[nodiscard]] error_budget_report merge(std::span<error_budget_report const> reports);
 
-/// \brief Counts good and bad events over several windows. One for each thread.
+/// \brief Counts good and bad events over several windows. Each thread has its own instance.
 ///
 /// Memory is about 4 KB a row and bounded by `error_budget_settings::max_rows`. Example:
 /// \code
-/// error_budget_tracker book{error_budget_settings{}};
-/// book.record_first_token({model, customer}, waited, now);
-/// book.record_outcome({model, customer}, answer_outcome::whole, now);
+/// error_budget_tracker tracker{error_budget_settings{}};
+/// tracker.record_first_token({model, customer}, waited, now);
+/// tracker.record_outcome({model, customer}, answer_outcome::whole, now);
 /// \endcode
 class error_budget_tracker
 {
@@ -149,7 +149,7 @@
 
     void record_first_token(error_budget_key key, state::duration waited, state::time_point now);
     void record_token_gap(error_budget_key key, state::duration gap, state::time_point now);
-    void record_outcome(error_budget_key key, answer_outcome end, state::time_point now);
+    void record_outcome(error_budget_key key, answer_outcome outcome, state::time_point now);
 
     [[nodiscard]] error_budget_report report(state::time_point now) const;
     [[nodiscard]] error_budget_settings const& settings() const noexcept;
--- a/include/plumdale/coordination/finished_generations.hpp
+++ b/include/plumdale/coordination/finished_generations.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 
 /// \file
-/// \brief What an owner remembers of generations that ended.
+/// \brief Records that an owner keeps of generations that ended.
 
 namespace plumdale::coordination
 {
@@ -28,15 +28,15 @@
     bool ran = false;
     /// \brief True when the last token was seen.
     bool whole = false;
-    /// \brief A plain call's answer, which no upstream can be asked for again; else null.
+    /// \brief Answer of a plain call, since no upstream can return it again; otherwise null.
     std::shared_ptr<std::string const> text;
-    /// \brief Sequence of the later start that took its place; zero when none did.
+    /// \brief Sequence of the later start that replaced it; zero when none did.
     std::uint64_t replaced_by = 0;
     /// \brief HTTP status of a plain call's answer.
     std::uint16_t status = 200;
 };
 
-/// \brief Ended generations by sequence number, bounded in number, time and kept text.
+/// \brief Ended generations by sequence number, bounded in number, age and retained text.
 class finished_generations
 {
 public:
@@ -44,7 +44,7 @@
                          std::size_t max_text_bytes);
 
     void remember(std::uint64_t sequence, finished_generation entry, state::time_point now);
-    /// \brief Returns the entry, or null when it never ended here or was forgotten.
+    /// \brief Returns the entry, or null when the generation did not end here or was evicted.
     [[nodiscard]] finished_generation const* find(std::uint64_t sequence) const noexcept;
     [[nodiscard]] std::size_t size() const noexcept
     {
--- a/include/plumdale/coordination/generation_failover.hpp
+++ b/include/plumdale/coordination/generation_failover.hpp
@@ -13,12 +13,12 @@
 #include <vector>
 
 /// \file
-/// \brief Carries one generation on when its upstream leaves or breaks off.
+/// \brief Continues one generation when its upstream leaves or its stream breaks off.
 
 namespace plumdale::coordination
 {
 
-/// \brief Order the source to copy the generation's memory; `last` stops it there.
+/// \brief Order the source to copy the generation's memory; `last` also stops it there.
 struct order_copy
 {
     state::member_key source;
@@ -26,12 +26,12 @@
     bool last = false;
 };
 
-/// \brief Send the call again, to go on from the memory that `holder` gave out under `handle`.
+/// \brief Send the call again, to continue from the memory that `holder` offers under `handle`.
 struct resume_generation
 {
     state::member_key at;
     state::member_key holder;
-    /// \brief Empty for a backup, which goes by the call's own id.
+    /// \brief Empty for a backup, which is identified by the call's own id.
     std::string handle;
 };
 
@@ -42,7 +42,7 @@
     std::string handle;
 };
 
-/// \brief The generation can't go on: the caller's answer breaks off.
+/// \brief The generation cannot continue; the caller's answer is cut off.
 struct abandon_generation
 {
 };
@@ -60,50 +60,51 @@
     unreachable
 };
 
-/// \brief Returns a destination for the memory of a generation at `source`; none if there is none.
+/// \brief Returns a destination for the memory of a generation at `source`, if there is one.
 using destination_selector = std::function<std::optional<state::member_key>(
     state::member_key source, std::span<state::member_key const> excluded)>;
 
-/// \brief The life of a generation across upstreams: copy while it runs, a last copy, resumption.
+/// \brief Moves a generation across upstreams: copy while it runs, a last copy, resumption.
 ///
-/// At most one upstream works on it at any time: it is resumed only after the source stopped it or
+/// At most one upstream runs it at any time: it is resumed only after the source stopped it or
 /// the stream from the source ended. Example:
 /// \code
-/// generation_failover survival{member, choose_destination};
-/// survival.source_leaves({refresh_at, last_at}, now, actions);
-/// survival.copied(handle, now, actions);   // then, when due, the refresh or the last copy
-/// survival.source_ended(now, actions);     // resume at the destination
+/// generation_failover failover{member, choose_destination};
+/// failover.source_leaves({refresh_at, last_at}, now, actions);
+/// failover.copied(handle, now, actions);   // then, when due, the refresh or the last copy
+/// failover.source_ended(now, actions);     // resume at the destination
 /// \endcode
 class generation_failover
 {
 public:
     generation_failover(state::member_key source, destination_selector choose);
 
-    /// \brief A copy of the memory grows at `member` from the start.
+    /// \brief Sets the upstream that keeps a copy of the memory from the start.
     void set_backup(state::member_key member) noexcept
     {
         backup_ = member;
     }
-    /// \brief An upstream leaves or is gone; if it keeps the backup, there is none any more.
+    /// \brief An upstream leaves or is gone; the backup is dropped if that upstream keeps it.
     void backup_leaves(state::member_key member, failover_actions& actions);
-    /// \brief The source leaves; `times` are those of the copies after the first. Told again when
-    /// more is known.
+    /// \brief The source leaves; `times` are those of the copies after the first. Called again when
+    /// the times change.
     void source_leaves(copy_schedule const& times, state::time_point now,
                        failover_actions& actions);
-    /// \brief The source answered an order to copy.
+    /// \brief The source carried out an order to copy.
     void copied(std::string handle, state::time_point now, failover_actions& actions);
-    /// \brief ... or refused it; `handle` is not empty where it stopped the generation nonetheless.
-    void copy_refused(copy_refusal why, std::string handle, state::time_point now,
+    /// \brief The source refused an order to copy; `handle` is not empty if it stopped the
+    /// generation nonetheless.
+    void copy_refused(copy_refusal reason, std::string handle, state::time_point now,
                       failover_actions& actions);
-    /// \brief The stream from the source ended without the generation's end.
+    /// \brief The stream from the source ended before the generation did.
     void source_ended(state::time_point now, failover_actions& actions);
-    /// \brief The first event after a resumption came.
+    /// \brief The first event after a resumption arrived.
     void resumed(state::time_point now) noexcept;
     /// \brief The resumption did not run.
     void resume_refused(state::time_point now, failover_actions& actions);
-    /// \brief The generation ended, or nobody wants it any more.
+    /// \brief The generation ended, or its caller no longer needs it.
     void finished(failover_actions& actions);
-    /// \brief Does what is due.
+    /// \brief Takes the next step if its deadline has passed.
     void advance(state::time_point now, failover_actions& actions);
 
     [[nodiscard]] state::time_point next_deadline() const noexcept
@@ -124,16 +125,17 @@
         return phase_ == phase::stopped || phase_ == phase::resuming;
     }
 
-    /// \brief Retry of an order that came too early for the generation or for another order.
+    /// \brief Delay of a retry when an order arrived before the generation began or during another
+    /// order.
     static constexpr state::duration copy_retry_delay = std::chrono::milliseconds{40};
-    /// \brief Longest time between two orders to a source that can't be reached: each doubles it.
+    /// \brief Longest delay between two orders to an unreachable source; each order doubles it.
     static constexpr state::duration max_copy_retry_delay = std::chrono::milliseconds{640};
     /// \brief Destinations that are tried for one departure.
     static constexpr std::size_t max_destinations = 4;
     /// \brief Longest wait for the answer to the last copy after the source's stream ended: the
     /// answer comes when the copy is complete, behind other copies on the link.
     static constexpr state::duration last_copy_timeout = std::chrono::milliseconds{1'200};
-    /// \brief Tries to resume, at the destination or where the memory was left.
+    /// \brief Attempts to resume, at the destination or at the upstream that kept the memory.
     static constexpr std::uint32_t max_resume_attempts = 4;
     static constexpr state::duration resume_retry_delay = std::chrono::milliseconds{25};
 
@@ -143,7 +145,7 @@
         steady,
         first_copy, ///< Ordered.
         copied,     ///< Waits for the time of the next copy.
-        refresh,    ///< Ordered; the copy before is still good.
+        refresh,    ///< Ordered; the previous copy is still valid.
         last_copy,  ///< Ordered.
         stopped,    ///< Last copy complete; waits for the stream's end.
         resuming,
@@ -163,7 +165,7 @@
     state::member_key source_;
     state::member_key destination_;
     state::member_key backup_;
-    /// \brief Where the next resumption goes.
+    /// \brief Upstream that the next resumption is sent to.
     state::member_key resume_destination_;
     state::member_key holder_;
     std::string handle_;
--- a/include/plumdale/coordination/generation_lifecycle.hpp
+++ b/include/plumdale/coordination/generation_lifecycle.hpp
@@ -6,18 +6,18 @@
 #include <string_view>
 
 /// \file
-/// \brief The life of one generation as a state machine.
+/// \brief The lifecycle of one generation as a state machine.
 
 namespace plumdale::coordination
 {
 
 enum class lifecycle_state : std::uint8_t
 {
-    reserved,  ///< An identity was given out; nothing runs.
+    reserved,  ///< An identity was assigned; nothing runs.
     waiting,   ///< To be dispatched.
     starting,  ///< Sent to an upstream; no token yet.
     streaming, ///< Tokens arrive.
-    resuming,  ///< Read again from the upstream that has it; starts nothing.
+    resuming,  ///< Its stream is reopened at the upstream that has it; nothing is started.
     finished,
     failed
 };
@@ -28,17 +28,17 @@
     read,     ///< The caller wants to read what ran already.
     dispatch, ///< It is sent to an upstream.
     token,    ///< A token arrived.
-    lost,     ///< The stream fell silent or broke.
+    lost,     ///< The stream timed out or broke.
     not_run,  ///< The upstream provably did not run it.
-    restart,  ///< It is to run anew.
+    restart,  ///< It is to be dispatched again.
     finish,   ///< The last token arrived.
-    fail      ///< It is given up.
+    fail      ///< It is abandoned.
 };
 
-/// \brief Allows the moves that `docs/design/03-delivery.md` lists and no others.
+/// \brief Allows the transitions that `docs/design/03-delivery.md` lists and no others.
 ///
-/// A Boost.MSM machine in place; its header stays in the source. Example:
-/// `generation_lifecycle life; life.apply(lifecycle_event::run); // life.state() == waiting`
+/// The Boost.MSM machine is stored in place, so that only the source includes its header. Example:
+/// `generation_lifecycle lifecycle; lifecycle.apply(lifecycle_event::run); // state() == waiting`
 class generation_lifecycle
 {
 public:
@@ -47,13 +47,13 @@
     generation_lifecycle& operator=(generation_lifecycle const&) = delete;
     ~generation_lifecycle();
 
-    /// \brief Makes a move; returns false, and stays, when the state does not allow it.
+    /// \brief Applies an event; returns false and keeps the state when the event is not allowed.
     [[nodiscard]] bool apply(lifecycle_event event);
     [[nodiscard]] lifecycle_state state() const noexcept
     {
         return state_;
     }
-    /// \brief Returns whether an upstream may be working on it.
+    /// \brief Returns whether an upstream may be running the generation.
     [[nodiscard]] bool may_be_running() const noexcept
     {
         return state_ >= lifecycle_state::starting && state_ <= lifecycle_state::resuming;
--- a/include/plumdale/coordination/member_selection.hpp
+++ b/include/plumdale/coordination/member_selection.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 /// \file
-/// \brief Which few of the members are probed, told or responsible.
+/// \brief Selects the few members that are probed, notified or responsible.
 
 namespace plumdale::coordination
 {
@@ -21,7 +21,7 @@
     return info.health != state::member_health::dead;
 }
 
-/// \brief Which members a selection is made from; `self` never belongs to it.
+/// \brief Members that a selection is made from; `self` is never one of them.
 struct selection_scope
 {
     state::member_table const& table;
@@ -39,7 +39,7 @@
 random_members(selection_scope const& scope, std::size_t count, std::minstd_rand& random);
 
 /// \brief Returns whether `self` is among the `count` members of its zone that are responsible for
-/// `subject` by rendezvous hashing. Members that drain are passed over.
+/// `subject` by rendezvous hashing. Draining members are skipped.
 [[nodiscard]] bool is_responsible(state::member_table const& table, state::member const& self,
                                   std::uint64_t subject, std::size_t count, bool own_zone);
 
--- a/include/plumdale/coordination/memory_cap_policy.hpp
+++ b/include/plumdale/coordination/memory_cap_policy.hpp
@@ -8,17 +8,17 @@
 #include <vector>
 
 /// \file
-/// \brief Baseline policy: a simple ranking with a cap on the reported memory.
+/// \brief Baseline policy: a balancing strategy with a cap on the reported memory.
 
 namespace plumdale::coordination
 {
 
 /// \brief Refuses a draft when every upstream reports more than `cap` of its memory in use, and a
-/// question at half the way from there to full; else leaves the choice to a ranking.
+/// question at the midpoint between `cap` and full; otherwise leaves the choice to a strategy.
 class memory_cap_policy final : public dispatch_policy
 {
 public:
-    /// \param cap Part of the memory, 0 to 1; above 1 nothing is refused.
+    /// \param cap Fraction of the memory, 0 to 1; above 1 nothing is refused.
     memory_cap_policy(std::unique_ptr<balancing_strategy> strategy, double cap);
 
     [[nodiscard]] dispatch_decision decide(dispatch_attempt const& attempt,
--- a/include/plumdale/coordination/outlier_detector.hpp
+++ b/include/plumdale/coordination/outlier_detector.hpp
@@ -7,24 +7,24 @@
 #include <unordered_map>
 
 /// \file
-/// \brief Which upstreams fail though the platform lists them as healthy.
+/// \brief Detects upstreams that fail although the platform lists them as healthy.
 
 namespace plumdale::coordination
 {
 
-/// \brief How a call at an upstream went, as far as the upstream is to be judged by it.
+/// \brief Result of a call, as far as it shows the health of its upstream.
 enum class call_result : std::uint8_t
 {
-    good,        ///< A whole answer.
-    failed,      ///< Its own failure status, a broken or spoiled answer, or none.
+    good,        ///< A complete answer.
+    failed,      ///< A failure status of its own, a broken or corrupt answer, or none.
     unreachable, ///< The connection could not be made.
-    busy         ///< Refused as full; says nothing of its health.
+    busy         ///< Refused as full; does not count for its health.
 };
 
-/// \brief Passive outlier detection: sets upstreams aside that fail much more than is usual, and
-/// tries them again.
+/// \brief Passive outlier detection: ejects upstreams that fail much more often than usual, and
+/// tries them again later.
 ///
-/// Health pages are not asked: they can be wrong either way. Example:
+/// Health pages are not queried, since they can be wrong either way. Example:
 /// \code
 /// outlier_detector health;
 /// health.note(member, call_result::failed, now);
@@ -34,19 +34,19 @@
 {
 public:
     void note(state::member_key member, call_result result, state::time_point now);
-    /// \brief Returns 0 for a sound upstream, up to 1 for one that should get no work while another
-    /// can take it.
+    /// \brief Returns 0 for a healthy upstream, up to 1 for one that should get no work while
+    /// another can take it.
     [[nodiscard]] double penalty(state::member_key member, state::time_point now) const;
-    /// \brief Returns until when it was set aside last; the epoch if it never was.
+    /// \brief Returns the end of the upstream's last ejection; the epoch if it never was ejected.
     [[nodiscard]] state::time_point ejected_until(state::member_key member) const;
     void forget(state::member_key member);
 
-    /// \brief Share of the newest result in the moving average: four failures in a row pass the
-    /// limit below from zero, one in seven (usual of the plain services met) does not.
+    /// \brief Weight of the newest result in the moving average: from zero, four failures in a row
+    /// exceed the limit below, and one in seven (usual for plain services) does not.
     static constexpr double smoothing_factor = 0.2;
-    /// \brief Failure rate above which an upstream is set aside.
+    /// \brief Failure rate above which an upstream is ejected.
     static constexpr double failure_rate_limit = 0.5;
-    /// \brief Upstreams that can't be reached are tried again after this, doubling.
+    /// \brief Time of the first ejection; each further one doubles it until a call succeeds.
     static constexpr state::duration initial_ejection_time = std::chrono::milliseconds{500};
     static constexpr state::duration max_ejection_time = std::chrono::seconds{4};
 
--- a/include/plumdale/coordination/own_load_history.hpp
+++ b/include/plumdale/coordination/own_load_history.hpp
@@ -7,7 +7,7 @@
 #include <cstdint>
 
 /// \file
-/// \brief What this entry VM held on an upstream some moments ago.
+/// \brief Load that this entry VM had on an upstream up to a few seconds ago.
 
 namespace plumdale::coordination
 {
@@ -19,7 +19,7 @@
     std::uint32_t streams = 0;
 };
 
-/// \brief Remembers about four seconds of own load, to compare with a report that is that late.
+/// \brief Keeps about four seconds of own load, to compare with a report that is up to that old.
 ///
 /// Any shard may write and read; each slot is one atomic word.
 class own_load_history
@@ -29,15 +29,15 @@
     static constexpr state::duration slot_duration = std::chrono::milliseconds{125};
     static constexpr std::size_t slots = 32;
 
-    /// \brief Notes what is held from now on.
+    /// \brief Records the load that is held from now on.
     void note(state::time_point now, own_load_sample held) noexcept
     {
         std::uint64_t const slot_number = slot_number_of(now);
         words_[slot_number % slots].store(pack(slot_number, held), std::memory_order_relaxed);
     }
 
-    /// \brief Returns what was held at `then`; nothing when no change up to then is remembered, and
-    /// `current` when `then` itself is longer ago than the memory reaches.
+    /// \brief Returns the load held at `then`; zero when no change up to then is recorded, and
+    /// `current` when `then` itself is older than the history.
     [[nodiscard]] own_load_sample at(state::time_point then, state::time_point now,
                                      own_load_sample current) const noexcept
     {
--- a/include/plumdale/coordination/projected_memory_policy.hpp
+++ b/include/plumdale/coordination/projected_memory_policy.hpp
@@ -16,12 +16,12 @@
 #include <unordered_map>
 
 /// \file
-/// \brief The policy in force: admits and routes by projected memory.
+/// \brief The policy in use: admits and routes requests by projected memory.
 
 namespace plumdale::coordination
 {
 
-/// \brief Where one shard stands among the deciders.
+/// \brief Node and zone of the entry VM that a shard belongs to.
 struct entry_vm_placement
 {
     state::node_id node;
@@ -30,13 +30,13 @@
     std::uint32_t shards = 1;
 };
 
-/// \brief Why requests went where they went, counted since the start.
+/// \brief Dispatch decisions by reason, counted since the start.
 struct dispatch_counts
 {
     std::uint64_t own_zone = 0;
-    /// \brief Sent to another zone, since the own one has no upstream that accepts.
+    /// \brief Sent to another zone, since no upstream of the own zone accepts work.
     std::uint64_t spilled_no_upstream = 0;
-    /// \brief Sent to another zone, since the own one has no room.
+    /// \brief Sent to another zone, since the own zone has no capacity.
     std::uint64_t spilled_no_capacity = 0;
     std::uint64_t warm_prefix = 0;
     std::uint64_t refused_memory = 0;
@@ -47,7 +47,7 @@
 };
 
 /// \brief Admits a request while the chance that an engine's memory overflows stays under the
-/// preset's bound, and routes it to the emptier of a few engines.
+/// preset's bound, and routes it to the least full of a few engines.
 ///
 /// Built from `length_estimator`, `load_forecaster`, `overflow_limit`, `customer_shares`,
 /// `retry_budget`, `subset_selector` and `prefix_hints`. Shards of one entry VM share nothing but
@@ -66,7 +66,7 @@
     void ended(state::stream_handle stream, std::uint32_t tokens, stream_outcome outcome,
                state::time_point now) override;
 
-    /// \brief Returns the memory of one stream in bytes, without the table's node.
+    /// \brief Returns the memory of one stream in bytes, without the hash table's node.
     [[nodiscard]] static constexpr std::size_t stream_bytes() noexcept;
     /// \brief Returns the counts of routing and refusals.
     [[nodiscard]] dispatch_counts const& counts() const noexcept;
@@ -74,7 +74,7 @@
     [[nodiscard]] double limit_factor(state::model_id model) const noexcept;
 
 private:
-    /// \brief What is learnt of one model's engines.
+    /// \brief State learnt from one model's engines.
     struct model_state
     {
         explicit model_state(length_estimator& lengths) : book{lengths} {}
@@ -83,7 +83,7 @@
         overflow_limit limit;
         std::unordered_map<upstream_gauge const*, std::uint64_t> preemptions;
         std::uint32_t answers = 0;
-        state::time_point binding_until{}; ///< The limit kept a draft from an engine just before.
+        state::time_point binding_until{}; ///< Until then the limit counts as binding.
         state::time_point next_refresh{};
     };
 
@@ -102,7 +102,7 @@
         stream_load load;
     };
 
-    /// \brief The best engine found so far, and what stood against the others.
+    /// \brief The best engine found so far, and why others were rejected.
     struct engine_search
     {
         dispatch_attempt const& attempt;
--- a/include/plumdale/coordination/route_outcomes.hpp
+++ b/include/plumdale/coordination/route_outcomes.hpp
@@ -24,7 +24,7 @@
     count                ///< Number of outcomes; no outcome itself.
 };
 
-/// \brief Names of the outcomes on operators' pages, in their order.
+/// \brief Names of the outcomes on operators' pages, in the order of `call_outcome`.
 inline constexpr std::array<std::string_view, static_cast<std::size_t>(call_outcome::count)>
     outcome_names{"on_time", "late", "refused", "failed", "left"};
 
@@ -43,19 +43,19 @@
         return rows_;
     }
 
-    /// \brief Routes that are counted; a configuration has some hundred, and names of routes that
-    /// are gone are dropped when there are more.
+    /// \brief Maximum number of routes; a configuration has some hundred. All counts are dropped
+    /// when the names, including those of removed routes, are more.
     static constexpr std::size_t max_routes = 2'000;
 
 private:
     std::map<std::string, outcome_counts, std::less<>> rows_;
 };
 
-/// \brief Returns the calls that count against an objective: all whose callers stayed.
+/// \brief Returns the calls that count against an objective: all except those of callers that left.
 [[nodiscard]] std::uint64_t counted_calls(outcome_counts const& counts) noexcept;
 
-/// \brief Returns how many times its error budget a route has used, of calls on time: 1 where just
-/// `objective` of them were; 0 without calls.
+/// \brief Returns the multiple of its error budget that a route has used: 1 when exactly the share
+/// `objective` of its calls was on time; 0 without calls.
 [[nodiscard]] double error_budget_used(outcome_counts const& counts, double objective) noexcept;
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/routing_table.hpp
+++ b/include/plumdale/coordination/routing_table.hpp
@@ -36,8 +36,8 @@
     [[nodiscard]] state::customer_keys const* find_customer(std::string_view key) const;
     /// \brief Returns the service with this name, or null.
     [[nodiscard]] state::service const* find_service(std::string_view name) const;
-    /// \brief Returns the service that `route` gives to a draw of 0 to 1 by its weights; empty when
-    /// the route names none.
+    /// \brief Returns the service that `route` selects by its weights for a random `draw` of 0 to
+    /// 1; empty when the route names none.
     [[nodiscard]] static std::string_view service_of(state::route const& route,
                                                      double draw) noexcept;
     [[nodiscard]] state::routing_configuration const& configuration() const noexcept
--- a/src/coordination/error_budget_tracker.cpp
+++ b/src/coordination/error_budget_tracker.cpp
@@ -30,7 +30,7 @@
     return std::chrono::duration<double, std::milli>{time}.count();
 }
 
-// The estimate starts from one sample for each marker; below that it says nothing.
+// The estimator needs one sample for each marker; with fewer samples its quantiles are invalid.
 latency_quantiles quantiles_of(latency_accumulator const& from)
 {
     static_assert(latency_quantiles::min_samples == 2 * quantiles.size() + 3);
@@ -46,7 +46,7 @@
     return to;
 }
 
-/// Counts over one window that moves on by whole slots.
+/// Counts over one sliding window that advances by whole slots.
 class slot_ring
 {
 public:
@@ -150,7 +150,7 @@
     return static_cast<double>(count.bad) / static_cast<double>(all) / (1.0 - share);
 }
 
-// A request that its caller must mend is no failure to serve it: it burns nothing.
+// A request that its caller must correct is no failure of the service and uses no error budget.
 answer_outcome answer_outcome_for(state::error_kind kind, bool began) noexcept
 {
     if (began)
@@ -158,8 +158,8 @@
         return answer_outcome::broken;
     }
     state::error_answer const& row = state::answer_for(kind);
-    bool const callers_fault = row.status < 500 && !row.retry_after;
-    if (callers_fault)
+    bool const is_caller_error = row.status < 500 && !row.retry_after;
+    if (is_caller_error)
     {
         return answer_outcome::left;
     }
@@ -174,9 +174,9 @@
     {
         for (error_budget_row const& row : report)
         {
-            auto const place = rows.try_emplace(row.key);
-            place.first->second.key = row.key;
-            add(place.first->second, row);
+            auto const inserted = rows.try_emplace(row.key);
+            inserted.first->second.key = row.key;
+            add(inserted.first->second, row);
         }
     }
     error_budget_report merged;
@@ -235,8 +235,8 @@
 
 error_budget_tracker::~error_budget_tracker() = default;
 
-// A caller may name any service, known or not, so rows made from names alone would grow without
-// end.
+// A caller may name any service, known or not, so without a limit the number of rows would not be
+// bounded.
 error_budget_tracker::row& error_budget_tracker::row_for(error_budget_key key)
 {
     auto const found = rows_->held.find(key);
@@ -266,19 +266,19 @@
     counted.token_gap(milliseconds(gap));
 }
 
-void error_budget_tracker::record_outcome(error_budget_key key, answer_outcome end,
+void error_budget_tracker::record_outcome(error_budget_key key, answer_outcome outcome,
                                           state::time_point now)
 {
-    if (end == answer_outcome::left)
+    if (outcome == answer_outcome::left)
     {
         return;
     }
     row& counted = row_for(key);
-    bool const refused = end == answer_outcome::refused;
+    bool const refused = outcome == answer_outcome::refused;
     counted.count(settings_, objective::admission, !refused, now);
     if (!refused)
     {
-        counted.count(settings_, objective::whole_answer, end == answer_outcome::whole, now);
+        counted.count(settings_, objective::whole_answer, outcome == answer_outcome::whole, now);
     }
 }
 
--- a/src/coordination/generation_backup.cpp
+++ b/src/coordination/generation_backup.cpp
@@ -6,9 +6,10 @@
 namespace
 {
 
-// A backup doubles the memory of a generation; without one, an upstream that crashes, falls dark or
-// goes without notice takes it along, and a notice is often too short to copy eight of them over
-// one link. Beyond these shares, what is refused for want of memory is more than what is saved.
+// A backup doubles the memory of a generation. Without one, an upstream that crashes, becomes
+// unreachable or leaves without notice loses it, and a notice is often too short to copy eight
+// generations over one link. Above these shares, backups cause more refusals than they prevent
+// losses.
 constexpr double max_mean_fullness = 0.6;
 constexpr double max_backup_fullness = 0.75;
 
--- a/src/coordination/generation_failover.cpp
+++ b/src/coordination/generation_failover.cpp
@@ -22,7 +22,8 @@
     {
         wait_for_next_copy(now);
     }
-    // A backup needs no copy: the generation runs on until the source is gone, and goes on there.
+    // With a backup no copy is needed: the generation runs until the source is gone, then resumes
+    // at the backup.
     if (phase_ == phase::steady && !backup_)
     {
         excluded_.assign({source_});
@@ -64,7 +65,7 @@
     next_deadline_ = std::max(now, std::min(times_.refresh_at, times_.last_at));
 }
 
-// Once only: a second refresh would find the upstream gone.
+// A refresh is ordered only once, since a second one would find the upstream gone.
 void generation_failover::order_refresh(failover_actions& actions)
 {
     next_deadline_ = state::never;
@@ -115,8 +116,8 @@
     }
 }
 
-void generation_failover::copy_refused(copy_refusal why, std::string handle, state::time_point now,
-                                       failover_actions& actions)
+void generation_failover::copy_refused(copy_refusal reason, std::string handle,
+                                       state::time_point now, failover_actions& actions)
 {
     if (phase_ == phase::refresh)
     {
@@ -128,7 +129,7 @@
     }
     if (phase_ == phase::last_copy && !handle.empty())
     {
-        // Stopped without a whole copy: its memory is still at the source.
+        // It was stopped without a complete copy, so its memory is still at the source.
         handle_ = std::move(handle);
         holder_ = source_;
         resume_destination_ = source_;
@@ -151,7 +152,7 @@
         next_deadline_ = now + copy_retry_delay;
         return;
     }
-    if (why == copy_refusal::no_capacity)
+    if (reason == copy_refusal::no_capacity)
     {
         excluded_.push_back(destination_);
         if (excluded_.size() > max_destinations)
@@ -161,11 +162,11 @@
         }
     }
     next_deadline_ = now + copy_retry_delay;
-    if (why == copy_refusal::unreachable)
+    if (reason == copy_refusal::unreachable)
     {
-        // An upstream that was drained closes its port and may run on for ten seconds. Each order
-        // tells all peers of memory at a destination, and takes it back: one draft would do so
-        // hundreds of times.
+        // A drained upstream closes its port and may run for another ten seconds. Each order
+        // reports memory at a destination to all peers and withdraws it; without a growing delay
+        // one draft would cause hundreds of these messages.
         next_deadline_ = now + unreachable_retry_delay_;
         unreachable_retry_delay_ = std::min(max_copy_retry_delay, 2 * unreachable_retry_delay_);
     }
@@ -240,7 +241,7 @@
     next_deadline_ = state::never;
     handle_.clear();
     destination_ = {};
-    // The backup was of the run before; a resumption asks for one of its own.
+    // The backup belonged to the previous run; a resumed run requests a new one.
     backup_ = {};
     source_leaves_ = false;
     resume_attempts_ = 0;
@@ -257,7 +258,7 @@
         abandon(actions);
         return;
     }
-    // The copy may be gone; a source that stopped keeps the memory.
+    // The copy may be gone, but a source that stopped the generation keeps its memory.
     if (!handle_.empty())
     {
         resume_destination_ = resume_destination_ == holder_ ? destination_ : holder_;
@@ -300,7 +301,7 @@
         return;
     case phase::refresh:
     case phase::last_copy:
-        // The source is gone before it answered.
+        // The source was gone before it answered.
         handle_.empty() ? resume_from_backup(actions) : resume(actions);
         return;
     case phase::stopped:
--- a/src/coordination/generation_lifecycle.cpp
+++ b/src/coordination/generation_lifecycle.cpp
@@ -22,7 +22,7 @@
 {
 };
 
-// -- the table ------------------------------------------------------------------------------------
+// -- transition table -----------------------------------------------------------------------------
 
 struct machine_front : front::state_machine_def<machine_front>
 {
@@ -48,7 +48,7 @@
     template <class From, lifecycle_event Event, class To>
     using row = front::Row<From, on<Event>, To>;
 
-    // One vector for each stretch of life: MPL's vectors end at twenty rows.
+    // One vector for each group of states: MPL's vectors hold at most twenty rows.
     using rows_before_start = mpl::vector<row<reserved, lifecycle_event::run, waiting>,
                                           row<reserved, lifecycle_event::read, resuming>,
                                           row<reserved, lifecycle_event::fail, failed>,
@@ -82,7 +82,7 @@
 
 using machine = boost::msm::back::state_machine<machine_front>;
 
-// -- from and to the public names -----------------------------------------------------------------
+// -- conversion from and to the public names ------------------------------------------------------
 
 template <lifecycle_state State>
 constexpr int id_of = boost::msm::back::get_state_id<machine::stt, machine_front::in<State>>::value;
--- a/src/coordination/member_selection.cpp
+++ b/src/coordination/member_selection.cpp
@@ -15,8 +15,8 @@
 
 } // namespace
 
-// The set follows from the table alone, each member is watched by as many as it watches, and a
-// change of the table moves its neighbours only.
+// The set depends on the table alone, each member is monitored by as many members as it monitors,
+// and a change of the table affects only the neighbours of the changed member.
 std::vector<state::node_id> ring_successors(selection_scope const& scope, std::uint64_t salt,
                                             std::size_t count)
 {
--- a/src/coordination/outlier_detector.cpp
+++ b/src/coordination/outlier_detector.cpp
@@ -20,7 +20,7 @@
     {
         row.ejection_time = initial_ejection_time;
     }
-    // Calls that were under way when it was set aside don't count again.
+    // Calls that were in flight when the upstream was ejected don't prolong the ejection.
     if (eject && now >= row.ejected_until)
     {
         row.ejected_until = now + row.ejection_time;
--- a/src/coordination/projected_memory_policy.cpp
+++ b/src/coordination/projected_memory_policy.cpp
@@ -9,35 +9,35 @@
 
 constexpr auto relaxed = std::memory_order_relaxed;
 
-/// Keys of customer, model and kind that a shard keeps lengths of: 4 MB when full.
+/// Keys of customer, model and kind for which a shard keeps length statistics: 4 MB when full.
 constexpr std::size_t max_length_keys = 8192;
-/// Output tokens after which a stream's forecast is made anew.
+/// Output tokens after which a stream's forecast is recomputed.
 constexpr std::uint32_t tokens_per_update = 16;
-/// The longest output that a customer's share is charged for in advance.
+/// Longest output that is charged to a customer's share in advance.
 constexpr double max_charged_tokens = 16'384.0;
-/// Engines looked at for one request; the emptiest is taken. With all of them looked at, every
-/// entry VM would send to the same engine until the next report.
+/// Engines compared for one request; the least full is taken. If all were compared, every entry VM
+/// would send to the same engine until the next report.
 constexpr std::size_t sampled_engines = 3;
-/// Engines looked at when none of those has room; a full zone is not searched for each request.
+/// Engines checked when no sampled one has capacity; bounds the search of a full zone per request.
 constexpr std::size_t max_engines_searched = 24;
-/// A warm prefix outweighs this much of an engine's memory.
+/// Fraction of an engine's memory that a warm prefix outweighs.
 constexpr double warm_bonus = 0.1;
-/// Parts of the limit for a customer that is over its fair share. What is left above them goes to
-/// the others: their drafts come before its questions, and its questions before its drafts.
+/// Fractions of the limit for a customer that is over its fair share. The rest is left to other
+/// customers: their drafts precede its questions, and its questions precede its drafts.
 constexpr double over_share_draft_fraction = 0.85;
 constexpr double over_share_question_fraction = 0.95;
-/// How long a question may wait here for room: most of the time to its first token is the engine's.
+/// Longest wait of a question for capacity: the engine needs most of the time to its first token.
 constexpr state::duration max_question_wait = std::chrono::milliseconds{250};
 constexpr state::duration refresh_interval = std::chrono::milliseconds{100};
 constexpr state::duration shares_interval = std::chrono::milliseconds{500};
-/// Centre of the time after which a waiting request is looked at again; spread, so that entry VMs
-/// don't all see the same free room at the same moment.
+/// Mean time after which a waiting request is evaluated again; jittered, so that entry VMs don't
+/// all see the same free capacity at the same moment.
 constexpr state::duration reevaluation_interval = std::chrono::milliseconds{100};
-/// How long the limit counts as met after a draft found no room.
+/// Time for which the limit counts as binding after a draft found no capacity.
 constexpr state::duration binding_time = std::chrono::seconds{5};
-/// Time in which an engine that was first seen just now comes to its full batch.
+/// Time in which a newly discovered engine is ramped up to its full batch.
 constexpr state::duration slow_start_time = std::chrono::seconds{10};
-/// Failures in a row after which an engine gets one stream at a time.
+/// Consecutive failures after which an engine gets one stream at a time.
 constexpr std::uint32_t failure_threshold = 3;
 
 bool has_failed(dispatch_attempt const& attempt, state::upstream_id id)
@@ -103,8 +103,8 @@
     model.limit.configure(fleet.preset);
     double const seen = static_cast<double>(engines.all.size());
     double const total = static_cast<double>(fleet.upstreams_of(id).size());
-    double const deciders = static_cast<double>(entry_vms_ * placement_.shards);
-    double const sharing = std::max(1.0, deciders * seen / total);
+    double const total_shards = static_cast<double>(entry_vms_ * placement_.shards);
+    double const sharing = std::max(1.0, total_shards * seen / total);
     model.book.refresh(engines.all, sharing, fleet.preset.horizon, now);
     model.limit.learn(new_preemptions(model, engines.all), model.answers * sharing, seen,
                       now < model.binding_until);
@@ -242,7 +242,7 @@
         evaluate(found, *engines[at], now);
         at = (at + stride) % engines.size();
     }
-    // None of the few has room: any other one will do.
+    // If no sampled engine has capacity, any other one that has is taken.
     std::size_t const most = std::min(max_engines_searched, engines.size());
     for (std::size_t i = 0; i < most && found.best == nullptr; ++i)
     {
@@ -261,8 +261,8 @@
     auto const ramp = slow_start_time.count();
     if (age < ramp)
     {
-        // An engine that came back empty looks best to every entry VM at once; each takes its part
-        // of a batch that grows over the slow start.
+        // An engine that was restarted empty looks best to every entry VM at once; each uses its
+        // share of a batch that grows over the slow start.
         double const part =
             static_cast<double>(std::max<std::int64_t>(0, age)) / static_cast<double>(ramp);
         return own < 1.0 + part * max_batch_ / entry_vms_;
@@ -279,10 +279,10 @@
         return;
     }
     engine_forecast const engine = found.model.book.forecast(gauge, now);
-    capacity_status const against = found.model.limit.check(
+    capacity_status const capacity = found.model.limit.check(
         engine, found.demand, found.attempt.request.kind, found.limit_fraction);
-    found.batch_full |= against == capacity_status::batch_full;
-    if (against != capacity_status::free)
+    found.batch_full |= capacity == capacity_status::batch_full;
+    if (capacity != capacity_status::free)
     {
         return;
     }
@@ -376,7 +376,7 @@
     dispatch_decision decision;
     decision.verdict = dispatch_verdict::refuse;
     decision.kind = kind;
-    // Spread, so that what was refused together doesn't come back together.
+    // Jittered, so that requests that were refused together are not retried together.
     decision.retry_after =
         std::chrono::duration_cast<state::duration>(mean_delay * jitter_factor());
     return decision;
@@ -421,8 +421,8 @@
         each.model->book.forecast(each.cell, each.tokens, held, each.max_tokens);
     if (!each.draft)
     {
-        // The next question takes the place of one that ends. Without that a draft would be given
-        // the memory of questions, and in a burst of them all engines overflowed.
+        // The next question takes the place of one that ends. Otherwise drafts are given the memory
+        // of questions, and in a burst of questions all engines overflowed.
         forecast.mean.fill(held);
         forecast.variance.fill(0.0);
     }
--- a/src/coordination/route_outcomes.cpp
+++ b/src/coordination/route_outcomes.cpp
@@ -17,7 +17,7 @@
     auto found = rows_.find(route);
     if (found == rows_.end())
     {
-        // Configurations replace routes all day; what is counted must not grow with them.
+        // New configurations keep replacing routes, so the number of rows must be bounded.
         if (rows_.size() >= max_routes)
         {
             rows_.clear();
--- a/src/coordination/upstream_selector.cpp
+++ b/src/coordination/upstream_selector.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-// Plain upstreams queue beyond their slots; a listing without slots is taken for one.
+// Plain upstreams queue calls beyond their slots; one listed without slots counts as having one.
 double slots_of(state::service_member const& member)
 {
     return std::max(1U, member.slots);
@@ -32,8 +32,8 @@
 {
 }
 
-// One that could not be reached for a while may have become cold meanwhile, and all entry VMs find
-// it empty at the same moment.
+// An upstream that was unreachable for a while may have become cold, and all entry VMs find it
+// empty at the same moment.
 bool upstream_selector::is_cold(directory_entry const& entry, state::service const& service,
                                 state::time_point now) const
 {
@@ -41,9 +41,10 @@
     {
         return false;
     }
-    state::time_point const back_at = health_.ejected_until(state::key_of(entry.info));
-    bool const was_aside = back_at != state::time_point{} && now < back_at + service.cold->time;
-    return was_aside || now < directory_.cold_until(entry, *service.cold);
+    state::time_point const ejection_end = health_.ejected_until(state::key_of(entry.info));
+    bool const was_ejected =
+        ejection_end != state::time_point{} && now < ejection_end + service.cold->time;
+    return was_ejected || now < directory_.cold_until(entry, *service.cold);
 }
 
 bool upstream_selector::may_send(directory_entry const& entry, state::service const& service,
@@ -68,11 +69,11 @@
     {
         return calls;
     }
-    // Outputs end one by one while others grow, so what is there now counts as much as what all
-    // will hold at their ends, which they don't reach at the same moment.
+    // Generations end one by one while others grow and don't reach their full size at the same
+    // moment, so the tokens held now and those held at the ends have equal weight.
     double const held = (load.tokens + load.tokens_at_end) / 2.0;
-    double const wanted = demand.prompt_tokens + demand.output_tokens / 2.0;
-    return std::max(calls, (held + wanted) / service.engine->memory_tokens);
+    double const demand_tokens = demand.prompt_tokens + demand.output_tokens / 2.0;
+    return std::max(calls, (held + demand_tokens) / service.engine->memory_tokens);
 }
 
 state::duration upstream_selector::time_to_first_event(directory_entry const& entry,
@@ -94,10 +95,10 @@
 {
     std::span<state::member_key const> const members = directory_.members_of(service.name);
     std::uniform_real_distribution<double> draw{0.0, 1.0};
-    double const chance = sampling_probability(members.size(), options.candidates);
+    double const probability = sampling_probability(members.size(), options.candidates);
     auto best = best_of(members, service, demand, options, now,
-                        [&] { return chance >= 1.0 || draw(random_) < chance; });
-    // None of those drawn may take work: then any will do, unless few were to be looked at.
+                        [&] { return probability >= 1.0 || draw(random_) < probability; });
+    // If no sampled upstream may take work, all are compared, unless only a few were requested.
     bool const is_final = best || options.candidates < selection_options::sampled_candidates;
     return is_final ? best : best_of(members, service, demand, options, now, [] { return true; });
 }
@@ -119,11 +120,11 @@
 {
     std::optional<selected_upstream> best;
     double best_score = 0.0;
-    std::size_t seen = 0;
+    std::size_t compared = 0;
     std::uniform_real_distribution<double> noise{0.0, max_score_noise};
     for (state::member_key const key : members)
     {
-        // Drawn first: of thousands, few are worth more than a draw.
+        // Sampling precedes the lookup, since only a few of thousands of upstreams are compared.
         directory_entry const* const entry = is_sampled() ? directory_.find(key) : nullptr;
         bool const fits = entry != nullptr && may_send(*entry, service, now) &&
                           std::find(options.excluded.begin(), options.excluded.end(), key) ==
@@ -132,7 +133,7 @@
         {
             continue;
         }
-        ++seen;
+        ++compared;
         double const full = fullness(*entry, service, demand);
         state::duration const wait = time_to_first_event(*entry, demand);
         double const score =
@@ -148,7 +149,7 @@
     }
     if (best)
     {
-        best->candidates_examined = seen;
+        best->candidates_examined = compared;
     }
     return best;
 }
