--- a/tests/coordination/policy_fixture.hpp
+++ b/tests/coordination/policy_fixture.hpp
@@ -20,7 +20,7 @@
         std::chrono::duration<double>{1000.0 + seconds})};
 }
 
-/// \brief Tells a gauge what an engine of 4,096 blocks reports.
+/// \brief Updates a gauge with the report of an engine of 4,096 blocks.
 inline void report(upstream_gauge& gauge, std::uint32_t used, std::uint32_t running,
                    state::time_point when)
 {
@@ -31,7 +31,7 @@
     ++gauge.report_sequence;
 }
 
-/// \brief Engines alternately in zones a and b, long known and empty.
+/// \brief Creates empty engines, alternately in zones a and b, that are past their slow start.
 inline fleet_snapshot fleet_of(std::uint32_t engines)
 {
     fleet_snapshot fleet;
--- a/tests/coordination/test_error_budget_tracker.cpp
+++ b/tests/coordination/test_error_budget_tracker.cpp
@@ -32,14 +32,14 @@
 
 } // namespace
 
-TEST_CASE("burn is the bad share over the share allowed", "[burn]")
+TEST_CASE("the burn rate is the bad share divided by the allowed share", "[error_budget_tracker]")
 {
     CHECK(coordination::burn_rate({99, 1}, 0.99) == Approx(1.0));
     CHECK(coordination::burn_rate({90, 10}, 0.99) == Approx(10.0));
     CHECK(coordination::burn_rate({0, 0}, 0.99) == 0.0);
 }
 
-TEST_CASE("an event leaves the short window first", "[burn]")
+TEST_CASE("an event expires from the shortest window first", "[error_budget_tracker]")
 {
     error_budget_tracker tracker{coordination::error_budget_settings{}};
     tracker.record_first_token(key, 2s, at(0s));
@@ -51,7 +51,7 @@
     CHECK(total(tracker, objective::first_token, hour, at(2h)).bad == 0);
 }
 
-TEST_CASE("a slot that comes round again starts empty", "[burn]")
+TEST_CASE("a slot is cleared before it is reused", "[error_budget_tracker]")
 {
     error_budget_tracker tracker{coordination::error_budget_settings{}};
     tracker.record_outcome(key, answer_outcome::broken, at(0s));
@@ -60,7 +60,8 @@
     CHECK(total(tracker, objective::whole_answer, minute, at(60s)).good == 1);
 }
 
-TEST_CASE("a refusal burns admission and says nothing of whole answers", "[burn]")
+TEST_CASE("a refusal counts against admission but not against whole answers",
+          "[error_budget_tracker]")
 {
     error_budget_tracker tracker{coordination::error_budget_settings{}};
     tracker.record_outcome(key, answer_outcome::refused, at(0s));
@@ -73,7 +74,7 @@
     CHECK(total(tracker, objective::whole_answer, minute, at(0s)).good == 1);
 }
 
-TEST_CASE("quantiles follow the samples", "[burn]")
+TEST_CASE("quantiles follow the samples", "[error_budget_tracker]")
 {
     error_budget_tracker tracker{coordination::error_budget_settings{}};
     for (int i = 0; i < 10'000; ++i)
@@ -85,7 +86,7 @@
     CHECK(report[0].token_gap.p99 == Approx(990).margin(10));
 }
 
-TEST_CASE("reports of several threads are added up", "[burn]")
+TEST_CASE("reports of several threads are added up", "[error_budget_tracker]")
 {
     error_budget_tracker one{coordination::error_budget_settings{}};
     error_budget_tracker two{coordination::error_budget_settings{}};
@@ -100,7 +101,8 @@
     CHECK(whole[minute].total.bad == 1);
 }
 
-TEST_CASE("rows are bounded though callers name any service", "[burn]")
+TEST_CASE("the number of rows is bounded when callers name arbitrary services",
+          "[error_budget_tracker]")
 {
     coordination::error_budget_settings settings;
     settings.max_rows = 3;
@@ -120,7 +122,7 @@
     CHECK(counted == 100);
 }
 
-TEST_CASE("a caller's own mistake burns nothing", "[burn]")
+TEST_CASE("a caller's error uses no error budget", "[error_budget_tracker]")
 {
     using state::error_kind;
     CHECK(coordination::answer_outcome_for(error_kind::unknown_model, false) ==
--- a/tests/coordination/test_generation_backup.cpp
+++ b/tests/coordination/test_generation_backup.cpp
@@ -13,10 +13,10 @@
 using namespace plumdale;
 using namespace plumdale::coordination;
 
-// Load pattern: 14 engines with memory for 34,000 tokens, 5.4 drafts a second of 3,000 tokens read
-// and some 800 made at 9 ms each, and every 3 s an engine that ends without notice and is back
-// empty after 4 s. Figures: the users' third deployment. The model has no prompts, batches or
-// transfers: it shows what memory backups take and what they save, not how long a draft takes.
+// Load pattern: 14 engines with memory for 34,000 tokens; 5.4 drafts a second with 3,000 prompt
+// tokens and some 800 output tokens at 9 ms each; every 3 s an engine crashes without notice and
+// restarts empty after 4 s. The figures are those of the users' third deployment. The model has no
+// prefill, batches or transfers: it shows the memory and the effect of backups, not latencies.
 
 namespace
 {
@@ -109,7 +109,8 @@
         drafts_.push_back(added);
     }
 
-    // Drafts with a backup go on there, without a new one; a backup that was kept there is gone.
+    // Drafts with a backup continue there without a new one; backups on the crashed engine are
+    // lost.
     void crash(double now)
     {
         std::size_t const gone = random_() % engines;
@@ -148,21 +149,22 @@
 
 } // namespace
 
-// Callers' drafts break off when their engine crashes. At the usual load there is memory for
-// backups: nearly all of those drafts go on, and nobody is refused for it.
-TEST_CASE("backups save drafts at the usual load and crowd nobody out", "[generation_backup][load]")
+// Guards against drafts lost when their engine crashes. At the usual load there is memory for
+// backups: nearly all affected drafts continue, and at most one in a hundred is refused.
+TEST_CASE("backups save drafts at the usual load with almost no refusals",
+          "[generation_backup][load]")
 {
     outcome const without = model{5.4}.run(600.0, false);
     outcome const with = model{5.4}.run(600.0, true);
     CHECK(with.backed_up > 9 * with.requested / 10);
-    // What is left are those whose keeper crashed before.
+    // The remaining losses are drafts whose backup engine crashed earlier.
     CHECK(with.lost < without.lost / 4);
     CHECK(with.refused <= with.requested / 100);
 }
 
-// At twice that load memory is short. Backups have to give way by themselves, or callers would be
-// refused for the sake of insurance.
-TEST_CASE("backups give way where memory is short", "[generation_backup][load]")
+// At twice that load memory is short. Guards against backups that take the memory of new requests,
+// which would be refused.
+TEST_CASE("fewer backups are made when memory is short", "[generation_backup][load]")
 {
     outcome const without = model{10.8}.run(600.0, false);
     outcome const with = model{10.8}.run(600.0, true);
@@ -171,7 +173,7 @@
     CHECK(with.lost + with.refused < without.lost + without.refused);
 }
 
-TEST_CASE("short answers and full services have no backup", "[generation_backup]")
+TEST_CASE("short answers and full services get no backup", "[generation_backup]")
 {
     CHECK_FALSE(should_back_up(long_answer_tokens - 1, 0.1));
     CHECK(should_back_up(long_answer_tokens, 0.1));
--- a/tests/coordination/test_generation_failover.cpp
+++ b/tests/coordination/test_generation_failover.cpp
@@ -39,8 +39,8 @@
 
 } // namespace
 
-TEST_CASE("a generation is copied while it runs, stopped by a last copy, and goes on elsewhere",
-          "[survival]")
+TEST_CASE("a generation is copied while it runs, stopped by a last copy, and resumed elsewhere",
+          "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -66,9 +66,10 @@
     CHECK_FALSE(failover.is_suspended());
 }
 
-// The upstream has told when it will be gone. Its generations run on until then; the caller sees no
-// more of a pause than a few tokens take to be read again.
-TEST_CASE("a copy is refreshed before a known departure, and nothing is stopped", "[survival]")
+// The upstream announced when it will be gone. Its generations run until then, so the caller's
+// pause is only the time to prefill the few tokens since the refresh.
+TEST_CASE("a copy is refreshed before a known departure without stopping the generation",
+          "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -85,8 +86,8 @@
     CHECK(last<resume_generation>(actions)->handle == "h2");
 }
 
-// The upstream is gone before it has answered the refresh, or refuses it: the copy before is used.
-TEST_CASE("a refresh that fails leaves the copy before", "[survival]")
+// The upstream is gone before it answers the refresh, or refuses it: the previous copy is used.
+TEST_CASE("a failed refresh leaves the previous copy in use", "[generation_failover]")
 {
     bool const answers = GENERATE(false, true);
     generation_failover failover{source, choose};
@@ -104,9 +105,9 @@
     CHECK(last<resume_generation>(actions)->handle == "h1");
 }
 
-// An upstream said that it would be gone and is still there: its generations are moved off after
-// all.
-TEST_CASE("an upstream that is overdue is left by a last copy", "[survival]")
+// An upstream still runs after its announced departure: its generations are moved to another one.
+TEST_CASE("an upstream past its announced departure gets an order for a last copy",
+          "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -119,9 +120,9 @@
     CHECK(last<order_copy>(actions)->last);
 }
 
-// The caller's draft runs on an upstream whose queue is not read yet; the order to copy finds no
-// such generation. It is ordered again until the generation has begun.
-TEST_CASE("a generation that has not begun is copied once it has", "[survival]")
+// The draft is still in the queue of its upstream, so the order to copy finds no such generation.
+// The order is repeated until the generation has begun.
+TEST_CASE("a generation that has not begun is copied once it begins", "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -132,7 +133,7 @@
     CHECK(last<order_copy>(actions)->destination == first_choice);
 }
 
-TEST_CASE("a destination without room is replaced by another", "[survival]")
+TEST_CASE("a destination without capacity is replaced by another", "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -142,9 +143,9 @@
     CHECK(last<order_copy>(actions)->destination == second_choice);
 }
 
-// The upstream crashes before its time, between the first copy and the last. The first copy holds
-// all but the newest tokens; without it the caller's draft would be cut.
-TEST_CASE("a crash after the first copy goes on from it", "[survival]")
+// The upstream crashes before its announced departure, between the first and the last copy. The
+// first copy holds all but the newest tokens; without it the caller's draft would be cut off.
+TEST_CASE("after a crash the generation resumes from its first copy", "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -155,7 +156,7 @@
     CHECK(last<resume_generation>(actions)->handle == "h1");
 }
 
-TEST_CASE("a crash without copy or backup ends the generation", "[survival]")
+TEST_CASE("a crash without copy or backup ends the generation", "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -163,7 +164,8 @@
     CHECK(last<abandon_generation>(actions) != nullptr);
 }
 
-TEST_CASE("with a backup a notice costs nothing and a crash is survived", "[survival]")
+TEST_CASE("a generation with a backup is not copied on a notice and survives a crash",
+          "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover.set_backup(second_choice);
@@ -176,9 +178,9 @@
     CHECK(last<resume_generation>(actions)->handle.empty());
 }
 
-// Source and backup are reclaimed in the same wave. A generation that relied on its backup would be
-// cut; it is copied as soon as the backup's notice is heard.
-TEST_CASE("a generation whose backup leaves too is copied after all", "[survival]")
+// Source and backup are reclaimed together. A generation that relied on its backup would be cut
+// off, so it is copied as soon as the backup's notice is received.
+TEST_CASE("a generation whose backup leaves too is copied", "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover.set_backup(second_choice);
@@ -189,7 +191,8 @@
     CHECK(last<order_copy>(actions)->destination == first_choice);
 }
 
-TEST_CASE("a last copy that found no room leaves the memory at the source", "[survival]")
+TEST_CASE("a last copy refused for capacity leaves the memory at the source",
+          "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -203,7 +206,8 @@
     CHECK(last<resume_generation>(actions)->handle == "h2");
 }
 
-TEST_CASE("a refused resumption is tried where the memory was left, then given up", "[survival]")
+TEST_CASE("a refused resumption is retried at the source and then abandoned",
+          "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -225,7 +229,7 @@
     CHECK(last<abandon_generation>(actions) != nullptr);
 }
 
-TEST_CASE("a copy that is not used is freed", "[survival]")
+TEST_CASE("an unused copy is released", "[generation_failover]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -236,9 +240,10 @@
     CHECK(last<release_copy>(actions)->handle == "h1");
 }
 
-// Any order of answers, breaks, timers and notices: what a caller would see doubled is a generation
-// resumed while its source's stream has neither ended nor been stopped by a last copy.
-TEST_CASE("no order of events resumes a generation that still runs", "[survival][seeds]")
+// Any order of answers, broken streams, timers and notices. Guards against duplicate output: a
+// generation resumed while its source's stream has neither ended nor been stopped by a last copy.
+TEST_CASE("no order of events resumes a generation that is still running",
+          "[generation_failover][seeds]")
 {
     for (std::uint32_t seed = 1; seed <= 10'000; ++seed)
     {
@@ -307,11 +312,12 @@
     }
 }
 
-// Load pattern: an upstream that was drained while the store was silent has closed its port and
-// runs its drafts on for ten seconds. Their callers see events all the while; each order to copy is
-// refused at once. Ordered every 40 ms, one draft made 227 of them, each told to all peers twice.
-TEST_CASE("copies of a source that can't be reached are ordered ever more seldom",
-          "[survival][load]")
+// Load pattern: an upstream that was drained while the store was unreachable has closed its port
+// and runs its drafts for another ten seconds, while their callers still receive events. Each order
+// to copy is refused at once; repeated every 40 ms, one draft caused 227 orders, each of which is
+// reported to all peers twice.
+TEST_CASE("orders to an unreachable source are repeated with growing delays",
+          "[generation_failover][load]")
 {
     generation_failover failover{source, choose};
     failover_actions actions;
@@ -329,7 +335,7 @@
     CHECK(orders <= 25);
     CHECK(orders >= 15);
 
-    // One that answers again is copied without delay.
+    // A copy that succeeds later is used.
     failover.copied("h1", now, actions);
     failover.source_ended(now, actions);
     REQUIRE(last<resume_generation>(actions) != nullptr);
--- a/tests/coordination/test_generation_lifecycle.cpp
+++ b/tests/coordination/test_generation_lifecycle.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::array all_events{run, read, dispatch, token, lost, not_run, restart, finish, fail};
 
-/// \brief Counts the events that a generation in the state at the end of `to` allows.
+/// \brief Counts the events that a generation allows after the events of `to`.
 int allowed_after(std::initializer_list<lifecycle_event> to)
 {
     int allowed = 0;
@@ -38,7 +38,7 @@
     return allowed;
 }
 
-TEST_CASE("the life of a generation follows its table", "[generation_life]")
+TEST_CASE("a generation follows the transition table", "[generation_lifecycle]")
 {
     std::vector<path> const paths{
         {{}, reserved},
@@ -62,7 +62,8 @@
     }
 }
 
-TEST_CASE("moves outside the table are refused and change nothing", "[generation_life]")
+TEST_CASE("events outside the transition table are rejected and keep the state",
+          "[generation_lifecycle]")
 {
     CHECK(allowed_after({}) == 3);
     CHECK(allowed_after({run}) == 2);
--- a/tests/coordination/test_outlier_detector.cpp
+++ b/tests/coordination/test_outlier_detector.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("the usual share of failures sets no upstream aside", "[member_health]")
+TEST_CASE("the usual failure rate ejects no upstream", "[outlier_detector]")
 {
     outlier_detector health;
     state::time_point now{10s};
@@ -25,7 +25,7 @@
     }
 }
 
-TEST_CASE("an upstream that fails most calls is set aside and tried again", "[member_health]")
+TEST_CASE("an upstream that fails most calls is ejected and tried again", "[outlier_detector]")
 {
     outlier_detector health;
     state::time_point const now{10s};
@@ -42,7 +42,7 @@
     CHECK(health.penalty(upstream, now + 1s) == 0.0);
 }
 
-TEST_CASE("being full says nothing of an upstream's health", "[member_health]")
+TEST_CASE("refusals of a full upstream don't count as failures", "[outlier_detector]")
 {
     outlier_detector health;
     state::time_point const now{10s};
--- a/tests/coordination/test_progress_timeout.cpp
+++ b/tests/coordination/test_progress_timeout.cpp
@@ -6,8 +6,7 @@
 using namespace plumdale::coordination;
 using namespace std::chrono_literals;
 
-TEST_CASE("the allowed silence follows the gaps of the stream within its bounds",
-          "[progress_timeout]")
+TEST_CASE("the timeout follows the gaps of the stream within its bounds", "[progress_timeout]")
 {
     progress_timeout_bounds const bounds{30s, 300ms, 3s};
     progress_timeout gaps;
--- a/tests/coordination/test_projected_memory_policy.cpp
+++ b/tests/coordination/test_projected_memory_policy.cpp
@@ -19,12 +19,12 @@
     fleet_snapshot fleet = fleet_of(4);
     projected_memory_policy policy{{state::node_id{1}, zone_a, 1}, {}, 7};
 
-    dispatch_decision ask(state::request const& request, state::time_point now)
+    dispatch_decision decide(state::request const& request, state::time_point now)
     {
         return policy.decide(first_attempt(request, now), fleet, now);
     }
 
-    /// \brief Reports every engine this full.
+    /// \brief Reports `part` of every engine's memory as used.
     void fill(double part, state::time_point now)
     {
         for (upstream_view const& each : fleet.upstreams)
@@ -36,32 +36,33 @@
 
 } // namespace
 
-TEST_CASE("work stays in its zone while there is room, and spills with a reason", "[policy]")
+TEST_CASE("requests stay in their zone while it has capacity, and spills are counted by reason",
+          "[policy]")
 {
     policy_fixture f;
     auto const request = request_of(question);
-    CHECK(f.ask(request, at(1)).upstream->info.zone == zone_a);
+    CHECK(f.decide(request, at(1)).upstream->info.zone == zone_a);
     report(*f.fleet.upstreams[0].gauge, 4096, 40, at(1));
     report(*f.fleet.upstreams[2].gauge, 4096, 40, at(1));
-    CHECK(f.ask(request, at(1.5)).upstream->info.zone == zone_b);
+    CHECK(f.decide(request, at(1.5)).upstream->info.zone == zone_b);
     CHECK(f.policy.counts().spilled_no_capacity == 1);
     f.fleet.upstreams[0].accepting = false;
     f.fleet.upstreams[2].accepting = false;
-    CHECK(f.ask(request, at(2)).upstream->info.zone == zone_b);
+    CHECK(f.decide(request, at(2)).upstream->info.zone == zone_b);
     CHECK(f.policy.counts().spilled_no_upstream == 1);
 }
 
-// Drafts fill the engines up to their bound. The caller of a question is served at once; the caller
-// of a draft waits for the preset's time at most, and then has its answer at once, not at its
-// deadline, with a time to come back that differs from those of others.
-TEST_CASE("a question passes where a draft waits and is then refused", "[policy]")
+// Drafts fill the engines up to their bound. A question is served at once. A draft waits at most
+// for the preset's time and is then refused at once, not at its deadline, with a jittered time to
+// retry.
+TEST_CASE("a question is dispatched where a draft waits and is then refused", "[policy]")
 {
     policy_fixture f;
     f.fill(0.93, at(1));
-    CHECK(f.ask(request_of(question), at(1.2)).verdict == dispatch_verdict::dispatch);
+    CHECK(f.decide(request_of(question), at(1.2)).verdict == dispatch_verdict::dispatch);
 
     state::request const late = request_of(draft, 2000);
-    dispatch_decision decision = f.ask(late, at(1.2));
+    dispatch_decision decision = f.decide(late, at(1.2));
     state::time_point now = at(1.2);
     while (decision.verdict == dispatch_verdict::wait)
     {
@@ -75,7 +76,7 @@
     CHECK(now >= at(1.2) + f.fleet.preset.draft_wait / 2);
 }
 
-TEST_CASE("times to come back are spread over half to one and a half of the preset's", "[policy]")
+TEST_CASE("times to retry are jittered from half to one and a half of the preset's", "[policy]")
 {
     policy_fixture f;
     f.fill(1.0, at(1));
@@ -83,7 +84,7 @@
     std::set<state::duration> times;
     for (int i = 0; i < 100; ++i)
     {
-        auto const decision = f.ask(request_of(draft), at(1.2));
+        auto const decision = f.decide(request_of(draft), at(1.2));
         REQUIRE(decision.verdict == dispatch_verdict::refuse);
         CHECK(decision.retry_after >= f.fleet.preset.retry_after / 2);
         CHECK(decision.retry_after <= f.fleet.preset.retry_after * 3 / 2);
@@ -92,7 +93,7 @@
     CHECK(times.size() > 90);
 }
 
-TEST_CASE("own drafts since the report keep further ones away", "[policy]")
+TEST_CASE("own drafts since the last report count against further ones", "[policy]")
 {
     policy_fixture f;
     f.fill(0.5, at(1));
@@ -100,36 +101,36 @@
     for (std::uint64_t i = 1; i <= 400; ++i)
     {
         auto const request = request_of(draft, 500);
-        auto const decision = f.ask(request, at(1.2));
+        auto const decision = f.decide(request, at(1.2));
         if (decision.verdict == dispatch_verdict::dispatch)
         {
             f.policy.started(state::stream_handle{i}, request, *decision.upstream, at(1.2));
             ++dispatched;
         }
     }
-    // Four engines with 32,768 tokens free each; all 400 would hold 200,000.
+    // Four engines have 32,768 free tokens each; all 400 drafts would hold 200,000.
     CHECK(dispatched > 40);
     CHECK(dispatched * 500 < 131'072);
 }
 
-TEST_CASE("a deadline that has passed is answered as not run", "[policy]")
+TEST_CASE("a request past its deadline is refused as not run", "[policy]")
 {
     policy_fixture f;
     auto request = request_of(question);
     request.deadline = at(1);
-    CHECK(f.ask(request, at(1)).kind == state::error_kind::deadline_not_run);
+    CHECK(f.decide(request, at(1)).kind == state::error_kind::deadline_not_run);
 }
 
-// A third of the engines die. Every request that was on them comes back as a retry at once. The
-// callers of the first few are served elsewhere; the rest is refused, so that the surviving engines
-// don't get the load of the dead ones on top of their own.
+// A third of the engines crash, and all of their requests are retried at once. The first few are
+// served elsewhere; the rest is refused, so that the remaining engines don't get the load of the
+// crashed ones in addition to their own.
 TEST_CASE("retries are bounded by a share of first attempts", "[policy]")
 {
     policy_fixture f;
     auto const request = request_of(question, 20);
     for (int i = 0; i < 100; ++i)
     {
-        static_cast<void>(f.ask(request, at(1)));
+        static_cast<void>(f.decide(request, at(1)));
     }
     std::vector<state::upstream_id> const failed{state::upstream_id{1}};
     int retried = 0;
@@ -140,14 +141,14 @@
         CHECK((!sent || decision.upstream->info.id != failed[0]));
         retried += sent ? 1 : 0;
     }
-    // Five at the start and ten for each hundred first attempts.
+    // The budget is five at the start and ten for each hundred first attempts.
     CHECK(retried == 15);
 }
 
-// An engine comes back empty and looks best to every entry VM at the same moment. Its first callers
-// would all prefill at once and stall each other; so each entry VM sends only its part of a batch
+// An engine restarts empty and looks best to every entry VM at the same moment. Its first requests
+// would all prefill at once and stall each other, so each entry VM sends only its share of a batch
 // that grows over ten seconds.
-TEST_CASE("an engine that was just seen fills slowly", "[policy]")
+TEST_CASE("a newly discovered engine is ramped up slowly", "[policy]")
 {
     policy_fixture f;
     f.fleet = fleet_of(1);
@@ -164,7 +165,7 @@
         for (int i = 0; i < 20; ++i)
         {
             auto const request = request_of(question, 20);
-            auto const decision = f.ask(request, now);
+            auto const decision = f.decide(request, now);
             if (decision.verdict == dispatch_verdict::dispatch)
             {
                 f.policy.started(state::stream_handle{++started}, request, *decision.upstream, now);
@@ -177,7 +178,7 @@
     CHECK(send_all(at(20)) > 10);
 }
 
-TEST_CASE("an engine that fails again and again gets one stream at a time", "[policy]")
+TEST_CASE("an engine with repeated failures gets one stream at a time", "[policy]")
 {
     policy_fixture f;
     f.fleet = fleet_of(1);
@@ -192,27 +193,27 @@
         start();
         f.policy.ended(state::stream_handle{stream}, 0, stream_outcome::failed, at(1));
     }
-    REQUIRE(f.ask(request, at(1)).verdict == dispatch_verdict::dispatch);
+    REQUIRE(f.decide(request, at(1)).verdict == dispatch_verdict::dispatch);
     start();
-    CHECK(f.ask(request, at(1)).verdict != dispatch_verdict::dispatch);
+    CHECK(f.decide(request, at(1)).verdict != dispatch_verdict::dispatch);
     f.policy.token(state::stream_handle{stream}, 0, at(1));
-    CHECK(f.ask(request, at(1)).verdict == dispatch_verdict::dispatch);
+    CHECK(f.decide(request, at(1)).verdict == dispatch_verdict::dispatch);
 }
 
-TEST_CASE("a warm prefix wins within a load bound", "[policy]")
+TEST_CASE("an engine with a warm prefix is preferred within a load bound", "[policy]")
 {
     policy_fixture f;
     auto request = request_of(question);
     request.prefix = {11, 22, 33};
     f.policy.started(state::stream_handle{1}, request, f.fleet.upstreams[2], at(1));
-    CHECK(f.ask(request, at(1)).upstream->info.id == f.fleet.upstreams[2].info.id);
+    CHECK(f.decide(request, at(1)).upstream->info.id == f.fleet.upstreams[2].info.id);
     report(*f.fleet.upstreams[2].gauge, 2048, 20, at(1));
-    CHECK(f.ask(request, at(1.2)).upstream->info.id == f.fleet.upstreams[0].info.id);
+    CHECK(f.decide(request, at(1.2)).upstream->info.id == f.fleet.upstreams[0].info.id);
 }
 
 // Operators switch between two presets every second while streams run. No caller loses its stream,
-// the stricter bound holds from the switch on, and what was learnt neither jumps nor drifts.
-TEST_CASE("switches under load lose nothing and don't swing", "[policy]")
+// the stricter bound holds from the switch on, and the learnt factor stays stable.
+TEST_CASE("preset switches under load lose no stream and keep the learnt factor stable", "[policy]")
 {
     policy_fixture f;
     auto const request = request_of(draft, 500);
@@ -235,7 +236,7 @@
             f.policy.token(state::stream_handle{i}, tokens, at(second));
         }
         ++tokens;
-        auto const verdict = f.ask(request, at(second + 0.2)).verdict;
+        auto const verdict = f.decide(request, at(second + 0.2)).verdict;
         CHECK((verdict == dispatch_verdict::dispatch) == !strict);
     }
     CHECK(f.policy.limit_factor(lists) == Approx(1.0).margin(0.01));
@@ -252,11 +253,12 @@
     }
 }
 
-TEST_CASE("a plain call goes to the least used service and is never held for memory", "[policy]")
+TEST_CASE("a plain call goes to the upstream with the fewest calls and never waits for memory",
+          "[policy]")
 {
     policy_fixture f;
     f.fill(1.0, at(1));
     auto const call = request_of(state::work_kind::call);
     f.fleet.upstreams[0].gauge->in_flight = 3;
-    CHECK(f.ask(call, at(1)).upstream->info.id == f.fleet.upstreams[2].info.id);
+    CHECK(f.decide(call, at(1)).upstream->info.id == f.fleet.upstreams[2].info.id);
 }
--- a/tests/coordination/test_route_outcomes.cpp
+++ b/tests/coordination/test_route_outcomes.cpp
@@ -6,7 +6,7 @@
 
 using namespace plumdale::coordination;
 
-TEST_CASE("a route's budget is used by calls that were not on time", "[route_outcomes]")
+TEST_CASE("calls that are not on time use a route's error budget", "[route_outcomes]")
 {
     route_outcomes outcomes;
     for (int i = 0; i < 96; ++i)
@@ -24,14 +24,14 @@
     CHECK(error_budget_used(counts, 0.96) == Approx(1.0));
 }
 
-TEST_CASE("a route without calls has used nothing", "[route_outcomes]")
+TEST_CASE("a route without calls has used no error budget", "[route_outcomes]")
 {
     CHECK(error_budget_used({}, 0.99) == 0.0);
     CHECK(error_budget_used({5, 5, 0, 0, 0}, 1.0) == 0.0);
 }
 
-// A storm of configurations brings new route names for hours.
-TEST_CASE("the routes that are counted are bounded", "[route_outcomes]")
+// Frequent new configurations add route names for hours; guards against unbounded memory.
+TEST_CASE("the number of counted routes is bounded", "[route_outcomes]")
 {
     route_outcomes outcomes;
     for (std::size_t i = 0; i < 3 * route_outcomes::max_routes; ++i)
--- a/tests/coordination/test_routing_table.cpp
+++ b/tests/coordination/test_routing_table.cpp
@@ -47,7 +47,7 @@
     CHECK(table.find_customer("") == nullptr);
 }
 
-TEST_CASE("a route's calls are shared by the weights of its services", "[routing_table]")
+TEST_CASE("a route's calls are distributed by the weights of its services", "[routing_table]")
 {
     state::route route;
     route.services = {{"old", 90.0}, {"new", 10.0}, {"none", 0.0}};
--- a/tests/coordination/test_upstream_selector.cpp
+++ b/tests/coordination/test_upstream_selector.cpp
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("the least full upstream of the own zone is taken", "[member_choice]")
+TEST_CASE("the least full upstream of the own zone is selected", "[upstream_selector]")
 {
     selector_fixture fleet;
     state::member_key const full = fleet.add("i-1", "a");
@@ -65,7 +65,8 @@
     CHECK(chosen->member == free);
 }
 
-TEST_CASE("another zone takes over when the own one is crowded", "[member_choice]")
+TEST_CASE("an upstream of another zone is selected when the own zone is nearly full",
+          "[upstream_selector]")
 {
     selector_fixture fleet;
     state::member_key const own = fleet.add("i-1", "a");
@@ -74,14 +75,14 @@
     CHECK(fleet.selector.choose(lists(), {3'000, 500}, {"a"}, now)->member == other);
 }
 
-// A question waits 1.3 s for its first event though its upstream's memory is almost empty: three
-// long prompts are read before it. Memory alone doesn't show that.
-TEST_CASE("prompts that are still to be read weigh like the wait they mean", "[member_choice]")
+// A question waits 1.3 s for its first event although its upstream's memory is almost empty, since
+// three long prompts are prefilled before it. Guards against selection by memory alone.
+TEST_CASE("pending prefill counts with the wait that it causes", "[upstream_selector]")
 {
     selector_fixture fleet;
-    state::member_key const reading = fleet.add("i-1", "a");
+    state::member_key const prefilling = fleet.add("i-1", "a");
     state::member_key const busy = fleet.add("i-2", "a");
-    fleet.ledger.add(reading, {reading, 3, 9'000, 9'000, 9'000});
+    fleet.ledger.add(prefilling, {prefilling, 3, 9'000, 9'000, 9'000});
     fleet.ledger.add(busy, {busy, 3, 11'000, 12'000, 0});
     auto const chosen = fleet.selector.choose(lists(), {2'100, 12}, {"a"}, now);
     REQUIRE(chosen);
@@ -89,7 +90,7 @@
     CHECK(chosen->time_to_first_event == 300ms);
 }
 
-TEST_CASE("an upstream that fails gets nothing while another can take it", "[member_choice]")
+TEST_CASE("a failing upstream gets no calls while another can take them", "[upstream_selector]")
 {
     selector_fixture fleet;
     state::member_key const failing = fleet.add("i-1", "a");
@@ -100,7 +101,7 @@
     CHECK(fleet.selector.choose(lists(), {}, {"a", excluded}, now)->member == failing);
 }
 
-TEST_CASE("there is no choice among upstreams that leave", "[member_choice]")
+TEST_CASE("upstreams that leave are not selected", "[upstream_selector]")
 {
     selector_fixture fleet;
     fleet.add("i-1", "a");
@@ -113,67 +114,68 @@
     CHECK_FALSE(fleet.selector.choose(lists(), {}, {"a"}, now));
 }
 
-// Load pattern: 45 crowded upstreams, one comes, and thirty entry VMs with waiting calls decide
-// before any hears of the others' starts. Each start occupies the upstream's reading for 0.4 s, so
-// callers of all but the first few are late. Bound: a quarter of the deciders, twice what drawing 8
-// of 46 gives.
-TEST_CASE("deciders that don't hear each other don't all take the upstream that came",
-          "[member_choice][load]")
+// Load pattern: one upstream joins 45 nearly full ones, and thirty entry VMs with waiting calls
+// decide before any learns of the others' starts. Each start occupies the upstream's prefill for
+// 0.4 s, so all but the first few calls are late. Bound: a third of the entry VMs, twice what
+// sampling 8 of 46 gives.
+TEST_CASE("entry VMs without reports of each other don't all select a new upstream",
+          "[upstream_selector][load]")
 {
-    constexpr std::size_t deciders = 30;
-    std::size_t met = 0;
-    for (std::size_t decider = 0; decider < deciders; ++decider)
+    constexpr std::size_t entry_vms = 30;
+    std::size_t selections = 0;
+    for (std::size_t entry_vm = 0; entry_vm < entry_vms; ++entry_vm)
     {
         selector_fixture fleet;
-        fleet.random.seed(static_cast<std::minstd_rand::result_type>(decider + 1));
+        fleet.random.seed(static_cast<std::minstd_rand::result_type>(entry_vm + 1));
         for (int i = 0; i < 45; ++i)
         {
-            state::member_key const crowded =
+            state::member_key const nearly_full =
                 fleet.add("i-" + std::to_string(i), i % 4 == 0 ? "a" : "b");
-            fleet.ledger.add(crowded, {crowded, 6, 18'000, 20'000, 3'000});
+            fleet.ledger.add(nearly_full, {nearly_full, 6, 18'000, 20'000, 3'000});
         }
         state::member_key const fresh = fleet.add("i-new", "a");
-        met += fleet.selector.choose(lists(), {3'000, 700}, {"a"}, now)->member == fresh ? 1 : 0;
+        selections +=
+            fleet.selector.choose(lists(), {3'000, 700}, {"a"}, now)->member == fresh ? 1 : 0;
     }
-    CHECK(met <= deciders / 3);
+    CHECK(selections <= entry_vms / 3);
 }
 
-// Load pattern: all upstreams are crowded, thirty calls wait in as many entry VMs and look again
-// every 25 ms; one upstream comes. A tenth of a second passes before all have heard of a start.
-// Were each look one for the best of eight, most would meet there within that time, and all but two
+// Load pattern: all upstreams are nearly full, thirty calls wait in as many entry VMs and retry
+// every 25 ms; one upstream joins. Reports of a start reach all entry VMs after 0.1 s. If each
+// attempt compared eight upstreams, most calls would meet there in that time, and all but two would
 // be late.
-TEST_CASE("waiting calls look at one upstream at a time", "[member_choice][load]")
+TEST_CASE("waiting calls sample one upstream at a time", "[upstream_selector][load]")
 {
-    constexpr int looks = 4;
-    std::size_t met = 0;
-    // Neighbouring seeds of the entry VMs' generator begin alike.
+    constexpr int attempts = 4;
+    std::size_t selections = 0;
+    // Neighbouring seeds of the entry VMs' generator give similar first numbers.
     std::mt19937 seeds{1};
-    for (std::size_t decider = 0; decider < 30; ++decider)
+    for (std::size_t entry_vm = 0; entry_vm < 30; ++entry_vm)
     {
         selector_fixture fleet;
         fleet.random.seed(seeds());
         for (int i = 0; i < 45; ++i)
         {
-            state::member_key const crowded = fleet.add("i-" + std::to_string(i), "a");
-            fleet.ledger.add(crowded, {crowded, 6, 18'000, 20'000, 3'000});
+            state::member_key const nearly_full = fleet.add("i-" + std::to_string(i), "a");
+            fleet.ledger.add(nearly_full, {nearly_full, 6, 18'000, 20'000, 3'000});
         }
         state::member_key const fresh = fleet.add("i-new", "a");
         bool found = false;
-        for (int look = 0; look < looks; ++look)
+        for (int attempt = 0; attempt < attempts; ++attempt)
         {
             auto const seen = fleet.selector.choose(
                 lists(), {3'000, 700}, {"a", {}, selection_options::other_zone_penalty, 1}, now);
             found = found || (seen && seen->member == fresh);
         }
-        met += found ? 1 : 0;
+        selections += found ? 1 : 0;
     }
-    // 30 x 4 looks at one of 46 each find it 2.6 times; eight at a time would 16 times.
-    CHECK(met <= 6);
+    // 30 x 4 samples of one in 46 find it 2.6 times; samples of eight would find it 16 times.
+    CHECK(selections <= 6);
 }
 
-// Load pattern: nine entry VMs that hear of each start before the next decision give 60 drafts to
+// Load pattern: nine entry VMs that learn of each start before the next decision send 60 drafts to
 // 12 equal upstreams of three zones: no upstream gets more than two above its share.
-TEST_CASE("deciders that hear each other spread drafts evenly", "[member_choice][load]")
+TEST_CASE("entry VMs with reports of each other spread drafts evenly", "[upstream_selector][load]")
 {
     selector_fixture fleet;
     for (int i = 0; i < 12; ++i)
@@ -195,10 +197,11 @@
     }
 }
 
-// Load pattern: a crowd in which all but a tenth of the upstreams read prompts for most of a
-// second. A prompt of 6,300 tokens is in time only at the others; with eight of 44 drawn, half of
-// the looks found none of them, and its call was refused.
-TEST_CASE("a thorough look finds the upstreams that read nothing", "[member_choice][load]")
+// Load pattern: nine tenths of the upstreams prefill prompts for most of a second. A prompt of
+// 6,300 tokens is in time only at the others; with eight of 44 sampled, half of the attempts found
+// none of them, and the call was refused.
+TEST_CASE("a thorough selection finds the upstreams without pending prefill",
+          "[upstream_selector][load]")
 {
     for (std::size_t const upstreams : {20U, 44U, 122U})
     {
@@ -207,16 +210,16 @@
         for (std::size_t i = 0; i < upstreams; ++i)
         {
             state::member_key const key = fleet.add("i-" + std::to_string(i), "a");
-            bool const reads = i % 10 != 0;
-            fleet.ledger.add(key, {key, 1, 5'000, 5'000, reads ? 4'000U : 0U});
-            if (!reads)
+            bool const prefills = i % 10 != 0;
+            fleet.ledger.add(key, {key, 1, 5'000, 5'000, prefills ? 4'000U : 0U});
+            if (!prefills)
             {
                 idle.push_back(key);
             }
         }
         int found = 0;
-        constexpr int looks = 1'000;
-        for (int i = 0; i < looks; ++i)
+        constexpr int attempts = 1'000;
+        for (int i = 0; i < attempts; ++i)
         {
             selection_options options{"a"};
             options.candidates = selection_options::thorough_candidates;
@@ -224,6 +227,6 @@
             found += std::find(idle.begin(), idle.end(), chosen->member) != idle.end() ? 1 : 0;
         }
         CAPTURE(upstreams);
-        CHECK(found >= looks * 95 / 100);
+        CHECK(found >= attempts * 95 / 100);
     }
 }
