--- a/include/plumdale/coordination/entry_node.hpp
+++ b/include/plumdale/coordination/entry_node.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 /// \file
-/// \brief Every decision of one entry VM.
+/// \brief Decision logic of one entry VM.
 
 namespace plumdale::coordination
 {
@@ -25,8 +25,8 @@
 /// \brief The whole decision logic of an entry VM, without I/O, clock, threads or logs.
 ///
 /// A driver feeds events with the time they happened at and carries out the actions. Each shard and
-/// the control plane may run on a thread of its own; one of them is never called from two threads
-/// at once. Example, with everything on one thread:
+/// the control plane may run on a thread of its own; none of them may be called from two threads at
+/// once. Example, with everything on one thread:
 /// \code
 /// entry_node node{settings, make_policy, seed};
 /// request_actions actions;
@@ -54,9 +54,9 @@
     /// \brief Decides on a control event.
     void handle(control_event const& event, state::time_point now, control_actions& actions);
 
-    /// \brief Returns when the shard wants `deadline_reached`.
+    /// \brief Returns when the shard needs a `deadline_reached` event.
     [[nodiscard]] state::time_point next_deadline(std::uint32_t shard) const;
-    /// \brief Returns when the control plane wants `deadline_reached`.
+    /// \brief Returns when the control plane needs a `deadline_reached` event.
     [[nodiscard]] state::time_point next_control_deadline() const;
 
     /// \brief Returns the published snapshot, for status pages and embedders.
--- a/include/plumdale/coordination/key_homes.hpp
+++ b/include/plumdale/coordination/key_homes.hpp
@@ -9,7 +9,8 @@
 #include <unordered_map>
 
 /// \file
-/// \brief Which entry VM decides on an idempotency key, and whether it can know the key's past.
+/// \brief Finds the entry VM that decides on an idempotency key, and whether that VM knows all
+/// earlier attempts.
 
 namespace plumdale::coordination
 {
@@ -21,32 +22,35 @@
     state::duration window;
     /// \brief How long a home has to be dead before the next VM takes its keys.
     state::duration takeover_delay;
-    /// \brief Entry VMs that settings name, this one included; fewer known means that more exist.
+    /// \brief Number of entry VMs that the settings name, this one included; if fewer are known,
+    /// the member list is incomplete.
     std::size_t configured_nodes = 1;
-    /// \brief False lets any dead home's keys pass on at once; for tests of what that breaks.
+    /// \brief False hands over the keys of a dead home at once; for tests that show what this
+    /// breaks.
     bool takeover_safeguard = true;
 };
 
-/// \brief Rendezvous hashing of keys over entry VMs, with the memory of who may have been home.
+/// \brief Rendezvous hashing of keys over entry VMs, with a record of the VMs that may have been
+/// home.
 ///
-/// Told the members as they are seen; decides nothing by itself.
+/// Knows the members only from `observe()`; takes no action by itself.
 class key_homes
 {
 public:
     key_homes(state::node_id self, key_home_settings settings);
 
-    /// \brief Notes the members as they are known at `now`.
+    /// \brief Records the members known at `now`.
     void observe(std::span<state::member const> members, state::time_point now);
     /// \brief Returns the VM that decides on `key` now.
     [[nodiscard]] state::node_id home_of(state::idempotency_key_id key) const noexcept;
     /// \brief Returns whether no other VM can have been home to `key` within the window.
     [[nodiscard]] bool home_throughout_window(state::idempotency_key_id key) const noexcept;
-    /// \brief Returns whether more than half of the known VMs can be heard.
+    /// \brief Returns whether more than half of the VMs, known or configured, are alive.
     [[nodiscard]] bool in_majority() const noexcept
     {
         return in_majority_;
     }
-    /// \brief Returns whether as many VMs are known as the settings name.
+    /// \brief Returns whether at least as many VMs are known as the settings name.
     [[nodiscard]] bool knows_all_nodes() const noexcept;
 
 private:
@@ -57,7 +61,7 @@
         state::time_point dead_since = state::never;
         state::time_point unlisted_since = state::never;
         bool left = false;
-        std::uint64_t round = 0; ///< Last observation that listed it.
+        std::uint64_t round = 0; ///< Last call of `observe()` that listed the VM.
     };
 
     void observe_member(state::member const& each, state::time_point now);
--- a/include/plumdale/coordination/recent_keys.hpp
+++ b/include/plumdale/coordination/recent_keys.hpp
@@ -9,40 +9,40 @@
 #include <unordered_map>
 
 /// \file
-/// \brief What a home VM remembers of idempotency keys.
+/// \brief Idempotency keys that their home VM has seen recently.
 
 namespace plumdale::coordination
 {
 
-/// \brief One key: the generation it led to, and what was asked.
+/// \brief One key: the generation that it started and the digest of its request.
 struct key_entry
 {
     /// \brief None when no attempt under this key has run.
     state::generation_id generation;
-    /// \brief Digest of what was asked; a key is good for one request only.
+    /// \brief Digest of the request; a key is valid for one request only.
     std::uint64_t content_digest = 0;
 };
 
-/// \brief Keys of the last while, bounded in number and time.
+/// \brief Recently used keys, bounded in number and age.
 ///
-/// Forgetting early, because of the number, is remembered: `complete_since()` tells from when on
-/// every key is still known. Example: `keys.remember(key, {id, content}, now)`.
+/// `complete_since()` accounts for keys that were evicted early because of the number: every key
+/// since then is still known. Example: `keys.remember(key, {id, content}, now)`.
 class recent_keys
 {
 public:
     /// \param window how long a key is remembered
-    /// \param count most keys remembered
-    /// \param start from when on keys are noted
+    /// \param max_keys largest number of keys remembered
+    /// \param start time from which keys are recorded
     recent_keys(state::duration window, std::uint32_t max_keys, state::time_point start);
 
     void remember(state::idempotency_key_id key, key_entry const& entry, state::time_point now);
     /// \brief Returns the entry of a key, or null.
     [[nodiscard]] key_entry const* find(state::idempotency_key_id key) const noexcept;
-    /// \brief Notes that a key's attempt did not run, so that a repeat may.
+    /// \brief Records that a key's attempt did not run, so that a repeat may run.
     void clear_generation(state::idempotency_key_id key) noexcept;
-    /// \brief Notes that this process may have missed what happened before `now`.
+    /// \brief Records that this process may have missed attempts made before `now`.
     void mark_incomplete_until(state::time_point now) noexcept;
-    /// \brief Returns the moment since which every key seen here is remembered.
+    /// \brief Returns the time since which every key seen here is remembered.
     [[nodiscard]] state::time_point complete_since() const noexcept
     {
         return complete_since_;
--- a/include/plumdale/coordination/request_actions.hpp
+++ b/include/plumdale/coordination/request_actions.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 /// \file
-/// \brief What a request shard asks of the transport.
+/// \brief Actions that the transport carries out for a request shard.
 
 namespace plumdale::coordination
 {
@@ -41,13 +41,13 @@
     std::string path;
 };
 
-/// \brief Close the exchange; no more events of it are wanted.
+/// \brief Close the exchange; the shard ignores further events of it.
 struct close_stream
 {
     state::stream_handle stream;
 };
 
-/// \brief Tell an upstream to stop a generation; it may lose the race with the last token.
+/// \brief Ask an upstream to stop a generation; the last token may arrive before it stops.
 struct cancel_generation
 {
     state::upstream_id upstream;
@@ -66,7 +66,7 @@
     state::stream_handle stream;
 };
 
-/// \brief Tell the caller its generation's identity before any work starts.
+/// \brief Send the caller the identity of its generation before any work starts.
 struct send_head
 {
     state::caller_handle caller;
@@ -95,7 +95,8 @@
     std::uint16_t status = 200;
 };
 
-/// \brief Refuse, or end an answer that broke off. After `send_head` it travels in the stream.
+/// \brief Refuse a request, or end an interrupted answer. After `send_head` the refusal is sent in
+/// the stream.
 struct send_refused
 {
     state::caller_handle caller;
@@ -114,7 +115,7 @@
     state::request request;
 };
 
-/// \brief Give up a relay; the owner sees its caller gone.
+/// \brief Close a relay; the owner sees its caller disconnect.
 struct close_relay
 {
     state::caller_handle caller;
@@ -124,7 +125,7 @@
     std::variant<open_stream, close_stream, cancel_generation, pause_stream, continue_stream,
                  send_head, send_token, send_finished, send_refused, relay_request, close_relay>;
 
-/// \brief Caller-owned buffer that a part appends its actions to.
+/// \brief Buffer that a shard appends its actions to; owned by the code that calls the shard.
 using request_actions = std::vector<request_action>;
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/request_events.hpp
+++ b/include/plumdale/coordination/request_events.hpp
@@ -11,7 +11,7 @@
 #include <variant>
 
 /// \file
-/// \brief What the transport tells a request shard.
+/// \brief Events that the transport reports to a request shard.
 
 namespace plumdale::coordination
 {
@@ -21,7 +21,7 @@
 {
     state::caller_handle caller;
     state::request request;
-    /// \brief The entry VM that relays; zero when the caller speaks to this one.
+    /// \brief The entry VM that relays; zero when the caller is connected to this one.
     state::node_id relayed_by;
 };
 
@@ -31,13 +31,13 @@
     state::caller_handle caller;
 };
 
-/// \brief The caller reads too slowly: its buffer passed the high mark.
+/// \brief The caller reads too slowly: its buffer rose above the high-water mark.
 struct caller_blocked
 {
     state::caller_handle caller;
 };
 
-/// \brief The caller's buffer fell below the low mark.
+/// \brief The caller's buffer fell below the low-water mark.
 struct caller_ready
 {
     state::caller_handle caller;
@@ -73,13 +73,13 @@
 enum class upstream_failure : std::uint8_t
 {
     not_connected,      ///< No connection was made, so nothing was sent: not run.
-    refused,            ///< The upstream said that it did not run it.
-    unknown_generation, ///< Answer to a resume: the upstream does not have it (any more).
-    broken,             ///< The connection ended after something was sent: it may have run.
-    invalid             ///< The upstream sent something that is not its protocol.
+    refused,            ///< The upstream reported that it did not run the generation.
+    unknown_generation, ///< Answer to a resume: the upstream no longer has the generation.
+    broken,             ///< The connection ended after data was sent: the generation may have run.
+    invalid             ///< The upstream sent data that violates its protocol.
 };
 
-/// \brief An exchange with an upstream ended without a whole answer.
+/// \brief An exchange with an upstream ended without a complete answer.
 struct upstream_failed
 {
     state::stream_handle stream;
@@ -132,13 +132,14 @@
     bool sent = true;
 };
 
-/// \brief The process did not run for a while (its clock jumped); what it knew may be old.
+/// \brief The process did not run for a while (its clock jumped); its view of the fleet may be out
+/// of date.
 struct process_paused
 {
     state::duration length{};
 };
 
-/// \brief The time that `next_deadline()` named has come.
+/// \brief The time returned by `next_deadline()` has come.
 struct deadline_reached
 {
 };
--- a/include/plumdale/coordination/request_shard.hpp
+++ b/include/plumdale/coordination/request_shard.hpp
@@ -13,7 +13,7 @@
 #include <memory>
 
 /// \file
-/// \brief The requests that one thread decides on.
+/// \brief Decision logic for the requests that one thread handles.
 
 namespace plumdale::coordination
 {
@@ -28,7 +28,7 @@
     std::atomic<std::uint32_t>& in_flight;
 };
 
-/// \brief Owns the generations whose sequence falls to it, from request to last token.
+/// \brief Owns the generations whose sequence maps to this shard, from request to last token.
 ///
 /// Called from one thread at a time.
 class request_shard
@@ -40,10 +40,10 @@
     request_shard& operator=(request_shard const&) = delete;
     ~request_shard();
 
-    /// \brief Decides on one event and appends the actions that follow.
+    /// \brief Handles one event and appends the resulting actions.
     void handle(request_event const& event, state::time_point now, request_actions& actions);
-    /// \brief Returns when `deadline_reached` is due, at most a second ahead: a deadline met late
-    /// is how a shard notices that its process did not run.
+    /// \brief Returns when `deadline_reached` is due, at most a second ahead: a shard detects a
+    /// pause of its process by a deadline that is handled late.
     [[nodiscard]] state::time_point next_deadline() const;
     /// \brief Returns the shard's counters; safe from any thread.
     [[nodiscard]] delivery_counts const& counts() const noexcept;
--- a/src/coordination/deadline_queue.hpp
+++ b/src/coordination/deadline_queue.hpp
@@ -8,12 +8,12 @@
 #include <vector>
 
 /// \file
-/// \brief When a shard has to look at a generation or relay again.
+/// \brief Timers of a shard's generations and relays.
 
 namespace plumdale::coordination
 {
 
-/// \brief One moment and what to look at then; `relay` is zero for a generation.
+/// \brief Timer of one generation or relay; `relay` is zero for a generation.
 struct due_item
 {
     state::time_point at;
@@ -21,9 +21,10 @@
     state::caller_handle relay;
 };
 
-/// \brief A heap whose items may be out of date: whoever takes one looks whether it is due.
+/// \brief A heap whose items may be out of date: the code that takes one checks whether it is due.
 ///
-/// A token moves its stream's deadline; moving it here too would cost a heap operation a token.
+/// A token moves its stream's deadline; updating the heap too would cost a heap operation per
+/// token.
 class deadline_queue
 {
 public:
--- a/src/coordination/generation_callers.cpp
+++ b/src/coordination/generation_callers.cpp
@@ -36,8 +36,9 @@
     }
 }
 
-// Two connections that read one generation would each get a part of it: the stream feeds one. The
-// earlier caller is told so, since a connection that went silent may well still have its reader.
+// Two connections that read one generation would each get a part of it, because the stream feeds
+// only one. The earlier caller is refused as superseded, since a silent connection may still have a
+// reader.
 void generation_owner::supersede_caller(generation_record& record)
 {
     if (!record.caller)
@@ -55,8 +56,8 @@
 
 void generation_owner::send_head_if_needed(generation_record& record)
 {
-    bool const wanted = record.request.streamed ? !record.head_sent : false;
-    if (!record.caller || !(wanted || record.caller_is_peer))
+    bool const needs_head = record.request.streamed ? !record.head_sent : false;
+    if (!record.caller || !(needs_head || record.caller_is_peer))
     {
         return;
     }
@@ -71,8 +72,8 @@
     detach(record);
 }
 
-// A billed list that is cancelled because a phone lost its link is a lost list: the family's repeat
-// would find that it "may have run" and nothing to read. So it runs on, and the repeat reads it.
+// A billed generation runs on when its caller disconnects, and a repeat reads its answer. If it
+// were cancelled, the repeat would be refused as "may have run" with no answer to read.
 void generation_owner::detach(generation_record& record)
 {
     if (record.read_only)
@@ -95,7 +96,7 @@
     arm_timer(record);
 }
 
-// A reserved identity stays good when its caller leaves before the dispatch.
+// A reserved identity stays valid when its caller disconnects before the dispatch.
 void generation_owner::cancel_unstarted(generation_record& record)
 {
     state::request const request = record.request;
@@ -104,9 +105,9 @@
     stop(record);
     if (reserved)
     {
-        generation_record& again = add(id, request);
-        again.expires_at = core_.now + core_.settings().reservation_time;
-        arm_timer(again);
+        generation_record& reservation = add(id, request);
+        reservation.expires_at = core_.now + core_.settings().reservation_time;
+        arm_timer(reservation);
     }
 }
 
@@ -153,7 +154,8 @@
                : state::error_kind::no_upstream;
 }
 
-/// The deadline has come. Whoever waits past it holds a connection for an answer of no use.
+/// Ends the wait of a caller at its deadline: a later answer would be useless and hold a
+/// connection.
 void generation_owner::on_request_deadline(generation_record& record)
 {
     record.request.deadline = state::never;
@@ -175,9 +177,11 @@
 {
     if (record.caller)
     {
-        bool const timed = state::answer_for(kind).retry_after && retry_after == state::duration{};
-        core_.refuse(record.caller, kind, timed ? core_.view().preset.retry_after : retry_after,
-                     record.id, record.next_index);
+        bool const uses_preset_delay =
+            state::answer_for(kind).retry_after && retry_after == state::duration{};
+        core_.refuse(record.caller, kind,
+                     uses_preset_delay ? core_.view().preset.retry_after : retry_after, record.id,
+                     record.next_index);
     }
     end(record, false);
 }
--- a/src/coordination/generation_dispatch.cpp
+++ b/src/coordination/generation_dispatch.cpp
@@ -8,11 +8,13 @@
 namespace
 {
 
-/// \brief Most starts of one repeatable request; the policy's retry budget usually ends it sooner.
+/// \brief Maximum starts of one repeatable request; the policy's retry budget usually runs out
+/// sooner.
 constexpr std::uint32_t max_starts = 4;
-/// \brief Lanes asked again when a stream ends and makes room.
+/// \brief Number of lanes whose head request is dispatched again when a stream ends and frees
+/// capacity.
 constexpr std::size_t redispatched_lane_count = 16;
-/// \brief Shortest wait before a policy is asked about a request again.
+/// \brief Shortest wait before the policy decides on a waiting request again.
 constexpr state::duration min_decision_wait = std::chrono::milliseconds{1};
 
 fair_queue::flow_key lane_of(generation_record const& record)
@@ -72,7 +74,8 @@
     case dispatch_verdict::refuse:
         break;
     }
-    // The policy speaks of this start; an earlier one may have run, and then "not run" were false.
+    // The policy decides on this start only; an earlier one may have run, and "not run" would be
+    // false.
     bool const ran_before = record.possible_runs > 0 && core_.enabled(safeguard::truthful_refusal);
     give_up(record, ran_before ? state::error_kind::may_have_run : decision.kind,
             decision.retry_after);
@@ -117,8 +120,8 @@
 }
 
 // Two starts under one identity are two runs with different tokens. A caller that re-attaches by
-// identity and index could be handed the other run's tokens; so each start that may have run keeps
-// its identity to itself.
+// identity and index could receive the other run's tokens, so each start that may have run has an
+// identity of its own.
 void generation_owner::take_new_identity(generation_record& record)
 {
     if (record.possible_runs == 0 || !core_.enabled(safeguard::identity_per_start))
@@ -166,8 +169,8 @@
     dispatch(record);
 }
 
-// Only the first exchange of a start can prove that it did not run: a resumption that does not
-// connect says nothing of the start before it.
+// Only the first exchange of a start can prove that it did not run: a resumption that fails to
+// connect proves nothing about the start before it.
 void generation_owner::retry_not_run(generation_record& record)
 {
     static_cast<void>(record.lifecycle.apply(lifecycle_event::not_run));
--- a/src/coordination/generation_ends.cpp
+++ b/src/coordination/generation_ends.cpp
@@ -99,10 +99,10 @@
     {
         return record.silent_since + std::min(timeout, longest);
     }
-    // Each resumption without a token gets twice the time: an engine that preempted the generation
-    // answers a resumption and then takes its time.
-    state::duration const most = std::max(settings.first_token_timeout, longest);
-    return record.silent_since + std::min(timeout * (1U << record.resume_attempts), most);
+    // Each resumption without a token doubles the timeout: an engine that preempted the generation
+    // accepts a resumption, but may need long for the next token.
+    state::duration const max_timeout = std::max(settings.first_token_timeout, longest);
+    return record.silent_since + std::min(timeout * (1U << record.resume_attempts), max_timeout);
 }
 
 state::time_point generation_owner::due_at(generation_record const& record) const
@@ -127,7 +127,8 @@
 
 void generation_owner::arm_timer(generation_record& record)
 {
-    // Never in the past: the shard takes a deadline met late for a pause of the process.
+    // The deadline is never in the past: the shard takes one that is handled late for a pause of
+    // the process.
     state::time_point const due = std::max(due_at(record), core_.now);
     if (due < record.timer_at)
     {
@@ -179,14 +180,14 @@
     {
         on_silence_timeout(*record);
     }
-    if (generation_record* const still = find(id))
+    if (generation_record* const remaining = find(id))
     {
-        arm_timer(*still);
+        arm_timer(*remaining);
     }
 }
 
-// One resumption tells a silent connection from a silent engine. After it, work that another engine
-// may do has no reason to wait.
+// One resumption distinguishes a silent connection from a silent engine. If silence continues after
+// it, work that may run on another engine is restarted at once.
 void generation_owner::on_silence_timeout(generation_record& record)
 {
     abort_stream(record);
--- a/src/coordination/generation_owner.cpp
+++ b/src/coordination/generation_owner.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// \brief Bytes of plain calls' answers that one shard keeps for repeats.
+/// \brief Limit in bytes of the plain calls' answers that one shard keeps for repeats.
 constexpr std::size_t max_kept_text_bytes = std::size_t{4} << 20U;
 
 } // namespace
@@ -99,8 +99,8 @@
     dispatch(record);
 }
 
-// The life allows `run` once, so a second run of an identity finds it waiting, running or ended:
-// the caller then reads the first run's tokens. A doubled list is never drafted, let alone billed.
+// The lifecycle allows `run` once, so a second run of an identity finds it waiting, running or
+// ended: the caller then reads the first run's tokens. Nothing is run or billed twice.
 void generation_owner::run(attached_caller const& caller, state::request const& request)
 {
     generation_record* record = find(request.generation);
@@ -162,8 +162,8 @@
 void generation_owner::attach_live(generation_record& record, attached_caller const& caller)
 {
     supersede_caller(record);
-    bool const whole_at_hand = !caller.streamed && !record.request.streamed;
-    bool const at_hand = whole_at_hand || record.next_index == caller.next_index;
+    bool const text_is_collected = !caller.streamed && !record.request.streamed;
+    bool const stream_is_usable = text_is_collected || record.next_index == caller.next_index;
     record.request.streamed = caller.streamed;
     record.request.deadline = caller.deadline;
     bind_caller(record, caller);
@@ -172,7 +172,7 @@
     {
         return;
     }
-    if (!at_hand && record.resumable())
+    if (!stream_is_usable && record.resumable())
     {
         abort_stream(record);
         record.next_index = caller.next_index;
@@ -192,9 +192,9 @@
 {
     if (ended.replaced_by != 0)
     {
-        auto const later =
+        auto const replacement =
             core_.context.signer.mint(id.owner, id.incarnation_number, ended.replaced_by);
-        return attach(caller, later, request);
+        return attach(caller, replacement, request);
     }
     if (!ended.ran)
     {
--- a/src/coordination/generation_owner.hpp
+++ b/src/coordination/generation_owner.hpp
@@ -17,13 +17,13 @@
 namespace plumdale::coordination
 {
 
-/// \brief A caller as the owner sees it: a connection here, or a peer's relay.
+/// \brief A caller of a generation: a connection to this VM, or a peer's relay.
 struct attached_caller
 {
     state::caller_handle handle;
     bool is_peer = false;
     bool streamed = true;
-    /// \brief First token that it has not got.
+    /// \brief Index of the first token that the caller has not received.
     std::uint32_t next_index = 0;
     state::time_point deadline = state::never;
 };
@@ -32,11 +32,11 @@
 struct read_hint
 {
     state::generation_id generation;
-    /// \brief None when it has to be searched for.
+    /// \brief None when upstreams have to be probed for the generation.
     state::upstream_id upstream;
 };
 
-/// \brief Owns the records of a shard. Requests are in generation_owner.cpp, callers in
+/// \brief Owns the generation records of a shard. Requests are in generation_owner.cpp, callers in
 /// generation_callers.cpp, starts in generation_dispatch.cpp, exchanges with upstreams in
 /// generation_streams.cpp, ends and timers in generation_ends.cpp.
 class generation_owner
@@ -46,22 +46,22 @@
 
     // -- requests ----------------------------------------------------------------------------
     [[nodiscard]] state::generation_id reserve(state::request const& request);
-    /// \brief Takes over another owner's identity; only for `safeguard::single_owner` turned off.
+    /// \brief Takes over another owner's identity; only used when `safeguard::single_owner` is off.
     void adopt(state::generation_id const& id, state::request const& request);
-    /// \brief Returns the identity that the next `accept` or `reserve` gives out.
+    /// \brief Returns the identity that the next `accept` or `reserve` assigns.
     [[nodiscard]] state::generation_id next_identity() const;
     [[nodiscard]] bool is_reserved(state::generation_id const& id) const;
     /// \brief Runs a new request; returns its identity.
     state::generation_id accept(attached_caller const& caller, state::request const& request);
-    /// \brief Runs a reserved identity, or attaches to it when it ran.
+    /// \brief Runs a reserved identity, or attaches to its generation if it has run.
     void run(attached_caller const& caller, state::request const& request);
     void attach(attached_caller const& caller, state::generation_id const& id,
                 state::request const& request);
     void cancel(state::caller_handle caller, state::request const& request);
-    /// \brief Cancels a generation whose owner is gone on the upstream that its caller names.
+    /// \brief Cancels a generation without a live owner, on the upstream that its caller names.
     void cancel_on_upstream(state::request const& request);
-    /// \brief Reads from the upstream that has it; runs nothing.
-    /// \param head_sent whether the caller got the head of this generation already
+    /// \brief Reads a generation from the upstream that has it; starts no run.
+    /// \param head_sent whether the caller has already received the head of this generation
     void read(attached_caller const& caller, read_hint const& hint, state::request const& request,
               bool head_sent = false);
 
@@ -79,7 +79,7 @@
 
     // -- time --------------------------------------------------------------------------------
     void on_deadline(state::generation_id const& id);
-    /// \brief Gives every stream its full time again: the silence was this process's own.
+    /// \brief Restarts every stream's silence timeout, after a pause of this process.
     void reset_silence_timers();
 
 private:
--- a/src/coordination/generation_streams.cpp
+++ b/src/coordination/generation_streams.cpp
@@ -58,17 +58,17 @@
 void generation_owner::probe_next_upstream(generation_record& record)
 {
     upstream_view const* next = nullptr;
-    std::uint64_t best = 0;
+    std::uint64_t best_weight = 0;
     for (upstream_view const& view : core_.view().upstreams)
     {
-        bool const asked = std::find(record.failed.begin(), record.failed.end(), view.info.id) !=
+        bool const tried = std::find(record.failed.begin(), record.failed.end(), view.info.id) !=
                            record.failed.end();
-        bool const fits = view.info.kind == state::upstream_kind::engine &&
-                          (!record.request.model || view.info.model == record.request.model);
+        bool const matches = view.info.kind == state::upstream_kind::engine &&
+                             (!record.request.model || view.info.model == record.request.model);
         std::uint64_t const weight = state::mix(view.info.id.value, record.id.sequence);
-        if (!asked && fits && weight >= best)
+        if (!tried && matches && weight >= best_weight)
         {
-            best = weight;
+            best_weight = weight;
             next = &view;
         }
     }
@@ -91,7 +91,7 @@
     {
         return count(core_.counts.late);
     }
-    // An engine or a proxy on the way may mix up exchanges: a shopper would read another's list.
+    // An engine or a proxy may mix up exchanges: a caller would receive another caller's tokens.
     if (event.generation != record->id && core_.enabled(safeguard::token_identity))
     {
         return count(core_.counts.wrong_identity);
@@ -106,8 +106,8 @@
         abort_stream(*record);
         return lost(*record);
     }
-    // Noted of resumed streams too: if only prompt ones counted, engines that grow slow together
-    // would be taken for dead for ever.
+    // First tokens of resumed streams count too: if only fast ones counted, engines that all become
+    // slow would be taken for dead for ever.
     if (record->started_at != state::never)
     {
         state::time_point const started = std::exchange(record->started_at, state::never);
@@ -192,12 +192,12 @@
         return count(core_.counts.late);
     }
     unregister_stream(*record);
-    bool const first = record->lifecycle.state() == lifecycle_state::starting;
+    bool const first_exchange = record->lifecycle.state() == lifecycle_state::starting;
     switch (event.cause)
     {
     case upstream_failure::not_connected:
     case upstream_failure::refused:
-        if (first)
+        if (first_exchange)
         {
             return retry_not_run(*record);
         }
@@ -222,8 +222,9 @@
 
 void generation_owner::lost(generation_record& record)
 {
-    bool const again = record.resumable() && record.resume_attempts < core_.settings().resume_count;
-    if (!again || !record.lifecycle.apply(lifecycle_event::lost))
+    bool const may_resume =
+        record.resumable() && record.resume_attempts < core_.settings().resume_count;
+    if (!may_resume || !record.lifecycle.apply(lifecycle_event::lost))
     {
         return restart_or_give_up(record, false);
     }
--- a/src/coordination/key_homes.cpp
+++ b/src/coordination/key_homes.cpp
@@ -35,8 +35,8 @@
             seen.dead_since = std::min(seen.dead_since, now);
         }
     }
-    // Cut off, such a VM runs first attempts for one window more, and they may be repeated for
-    // another.
+    // A VM that is partitioned off still runs first attempts for one window, and these may be
+    // repeated for another.
     std::erase_if(observations_, [&](auto const& entry)
                   { return entry.second.unlisted_since < now - 2 * settings_.window; });
     in_majority_ = majority_is_alive();
@@ -66,9 +66,10 @@
     seen.dead_since = state::never;
 }
 
-// A dead home may be cut off and alive, with callers of its own. Its keys pass on only on the side
-// that hears more than half of the VMs, and late enough that the other side knows it is the smaller
-// and refuses repeats: so there are never two VMs that both believe they know a key's past.
+// A home that appears dead may be alive in another partition, with callers of its own. Its keys are
+// taken over only in the majority, and late enough that the other side has detected that it is the
+// minority and refuses repeats. So two VMs never both decide as if they knew a key's earlier
+// attempts.
 bool key_homes::may_take_over(node_observation const& dead) const noexcept
 {
     if (!settings_.takeover_safeguard)
@@ -93,8 +94,8 @@
     return home;
 }
 
-// Whoever may have been home counts, be it dead, gone or cut off: a first attempt may have run
-// there.
+// Every VM that may have been home counts, even if it is dead, unlisted or partitioned off: a first
+// attempt may have run there.
 bool key_homes::home_throughout_window(state::idempotency_key_id key) const noexcept
 {
     return std::none_of(observations_.begin(), observations_.end(),
@@ -109,14 +110,14 @@
 
 bool key_homes::majority_is_alive() const noexcept
 {
-    std::size_t heard = 1;
+    std::size_t alive = 1;
     std::size_t known = 1;
     for (auto const& [id, seen] : observations_)
     {
         known += seen.left ? 0 : 1;
-        heard += !seen.left && seen.dead_since == state::never ? 1 : 0;
+        alive += !seen.left && seen.dead_since == state::never ? 1 : 0;
     }
-    return heard * 2 > std::max(known, settings_.configured_nodes);
+    return alive * 2 > std::max(known, settings_.configured_nodes);
 }
 
 bool key_homes::knows_all_nodes() const noexcept
--- a/src/coordination/key_resolver.cpp
+++ b/src/coordination/key_resolver.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// \brief Digest of what is asked under a key.
+/// \brief Returns the digest of a request; repeats under its key have to match it.
 std::uint64_t digest_of(state::request const& request)
 {
     std::uint64_t const body = request.body ? state::stable_hash(*request.body) : 0;
@@ -36,7 +36,7 @@
         core_.keys.mark_incomplete_until(core_.now);
     }
     homes_.observe(core_.view().members, core_.now);
-    // While this VM was on the smaller side, or taken for dead, others decided on its keys.
+    // While this VM was in the minority, or presumed dead, others decided on its keys.
     bool const in_majority = homes_.in_majority();
     minority_since_ = in_majority ? state::never : std::min(minority_since_, core_.now);
     if (!in_majority || !was_in_majority_)
@@ -61,7 +61,7 @@
     state::node_id const home = homes_.home_of(request.key);
     if (home != core_.settings().self.id && core_.enabled(safeguard::key_home))
     {
-        // The peer that relayed this has another view of the members: one of the two is behind.
+        // The relaying peer has another view of the members: one of the two views is stale.
         return {relayed ? key_verdict::in_doubt : key_verdict::relay, {}, home};
     }
     if (known != nullptr)
@@ -77,17 +77,18 @@
     return {run ? key_verdict::run : key_verdict::in_doubt, {}, home};
 }
 
-// A VM that has just come is home to keys that others don't know it is home to yet: a first attempt
-// here and its repeat at the former home would both run. The same holds for one that does not even
-// know the members that its settings name. And in a cut that outlasts the window, the larger side
-// forgets that this VM may be home.
+// A VM that has just started is home to keys that others still assign to the former home: a first
+// attempt here and its repeat there would both run. The same holds for a VM that knows fewer
+// members than its settings name. In a partition that outlasts the window, the majority forgets
+// that this VM may be home.
 bool key_resolver::first_attempt_may_run() const
 {
-    bool const settled = core_.now >= started_at_ + core_.settings().key_takeover_delay;
+    bool const takeover_delay_passed =
+        core_.now >= started_at_ + core_.settings().key_takeover_delay;
     bool const forgotten_soon = minority_since_ != state::never &&
                                 core_.now >= minority_since_ + core_.settings().key_window;
     return !core_.enabled(safeguard::key_takeover) ||
-           (homes_.knows_all_nodes() && settled && !forgotten_soon);
+           (homes_.knows_all_nodes() && takeover_delay_passed && !forgotten_soon);
 }
 
 bool key_resolver::earlier_attempts_known(state::idempotency_key_id key) const
@@ -97,8 +98,8 @@
         return true;
     }
     bool const remembered = core_.now >= core_.keys.complete_since() + core_.settings().key_window;
-    bool const sole = homes_.in_majority() && homes_.home_throughout_window(key);
-    return remembered && (sole || !core_.enabled(safeguard::key_home));
+    bool const sole_home = homes_.in_majority() && homes_.home_throughout_window(key);
+    return remembered && (sole_home || !core_.enabled(safeguard::key_home));
 }
 
 void key_resolver::remember(state::request const& request, state::generation_id const& id)
--- a/src/coordination/key_resolver.hpp
+++ b/src/coordination/key_resolver.hpp
@@ -12,16 +12,15 @@
 
 enum class key_verdict : std::uint8_t
 {
-    run,             ///< No attempt under this key ran; remember it and run.
-    attach,          ///< It led to `generation`.
-    relay,           ///< `home` decides.
+    run,             ///< No attempt under this key ran; remember the key and run.
+    attach,          ///< An earlier attempt started `generation`.
+    relay,           ///< `home`, another VM, decides.
     in_use,          ///< The key was used for another request.
-    in_doubt,        ///< This attempt is not run; an earlier one may have been.
-    home_unreachable ///< The home can't be heard and may be alive elsewhere; this attempt is not
-                     ///< run.
+    in_doubt,        ///< This attempt is not run; an earlier one may have run.
+    home_unreachable ///< Another home may be alive but unreachable; this attempt is not run.
 };
 
-/// \brief The verdict and what goes with it.
+/// \brief The verdict, with the generation or home that it refers to.
 struct key_decision
 {
     key_verdict verdict = key_verdict::in_doubt;
@@ -29,13 +28,14 @@
     state::node_id home;
 };
 
-/// \brief The rules of a key's home. See docs/design/02-ownership.md.
+/// \brief Decides how a request with an idempotency key is handled. See
+/// docs/design/02-ownership.md.
 class key_resolver
 {
 public:
     explicit key_resolver(shard_core& core);
 
-    /// \brief Notes the members; called when the snapshot changed and from time to time.
+    /// \brief Records the members; called when the snapshot has changed, and periodically.
     void observe();
     [[nodiscard]] key_decision decide(state::request const& request, bool relayed) const;
     void remember(state::request const& request, state::generation_id const& id);
--- a/src/coordination/pause_detector.hpp
+++ b/src/coordination/pause_detector.hpp
@@ -3,28 +3,28 @@
 #include "shard_core.hpp"
 
 /// \file
-/// \brief Notices that the process did not run, and holds dispatches until there is news.
+/// \brief Detects pauses of the process and holds dispatches until there is a newer snapshot.
 
 namespace plumdale::coordination
 {
 
-// A process that was stopped wakes in the middle of what it was doing. What it believes of members
-// and upstreams is as old as the stop was long, and others may have taken its keys: it would send
-// work to an engine that left, or run a key anew. So it waits for a newer snapshot, for a bounded
-// time, and forgets that it knew any key's past.
+// A process that was paused resumes with a view of members and upstreams that is as old as the
+// pause was long, and other VMs may have taken over its keys: it would send work to an engine that
+// has left, or run a key a second time. So it waits a bounded time for a newer snapshot, and treats
+// the earlier attempts of every key as unknown.
 class pause_detector
 {
 public:
     explicit pause_detector(shard_core& core) : core_{core} {}
 
-    /// \brief Returns whether `due`, the deadline asked for last, is met so late that the process
-    /// can't have run.
+    /// \brief Returns whether `due`, the last requested deadline, is handled so late that the
+    /// process must have been paused.
     [[nodiscard]] bool detects_pause(state::time_point due) const
     {
         return started_ && core_.now > due + core_.settings().pause_tolerance;
     }
 
-    /// \brief Notes a pause that ends now.
+    /// \brief Records a pause that ends now.
     void paused()
     {
         count(core_.counts.paused);
@@ -37,7 +37,7 @@
         }
     }
 
-    /// \brief Keeps a deadline at most a second ahead, without which lateness could not show.
+    /// \brief Keeps a deadline at most a second ahead, so that a pause shows as a late deadline.
     void tick()
     {
         started_ = true;
@@ -48,7 +48,8 @@
         }
     }
 
-    /// \brief Returns whether the members are to be looked at; ends the hold when there is news.
+    /// \brief Returns whether the members have to be observed again; ends the hold when there is a
+    /// newer snapshot.
     [[nodiscard]] bool fleet_changed()
     {
         std::uint64_t const version = core_.context.fleet.version();
--- a/src/coordination/recent_keys.cpp
+++ b/src/coordination/recent_keys.cpp
@@ -57,8 +57,8 @@
         entries_.erase(found);
         if (!expired)
         {
-            // A repeat of this key would find nothing and run again, so until the window has
-            // passed anew, nothing that is missing here counts as never seen.
+            // A repeat of this key would find no entry and run again, so until another window has
+            // passed, a missing key does not count as never seen.
             complete_since_ = std::max(complete_since_, oldest.recorded_at);
         }
     }
--- a/src/coordination/relay_coordinator.cpp
+++ b/src/coordination/relay_coordinator.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-/// \brief How much later than the owner this VM answers at a deadline: the owner knows more.
+/// \brief Time after a deadline for which the owner's answer is awaited: the owner knows more of
+/// the run.
 constexpr state::duration deadline_grace = std::chrono::milliseconds{200};
 
 } // namespace
@@ -64,7 +65,7 @@
 
 // -- the owner's answers --------------------------------------------------------------------------
 
-/// Returns whether `id` is, or may become, the generation that this relay reads.
+/// Returns whether `id` is the generation that this relay reads; counts a mismatch.
 bool relay_coordinator::expects(relay& pending, state::generation_id const& id)
 {
     if (id == pending.generation || !core_.enabled(safeguard::token_identity))
@@ -82,7 +83,7 @@
     {
         return;
     }
-    // The owner may restart repeatable work under another identity while no token has left.
+    // The owner may restart repeatable work under another identity while no token has been sent.
     bool const changed = event.generation != pending->generation;
     if (changed && (pending->next_index != 0 || !core_.context.signer.verify(event.generation)))
     {
@@ -106,9 +107,9 @@
     }
     if (event.index != pending->next_index && core_.enabled(safeguard::token_index))
     {
-        bool const old = event.index < pending->next_index;
-        count(old ? core_.counts.duplicate : core_.counts.skipped);
-        return old ? void() : retry_owner(*pending);
+        bool const is_duplicate = event.index < pending->next_index;
+        count(is_duplicate ? core_.counts.duplicate : core_.counts.skipped);
+        return is_duplicate ? void() : retry_owner(*pending);
     }
     pending->next_index = event.index + 1;
     pending->upstream = event.upstream;
@@ -125,13 +126,13 @@
     {
         return;
     }
-    bool const reads = pending->request.op == state::operation::run ||
-                       pending->request.op == state::operation::attach;
-    if (reads && !expects(*pending, event.generation))
+    bool const reads_generation = pending->request.op == state::operation::run ||
+                                  pending->request.op == state::operation::attach;
+    if (reads_generation && !expects(*pending, event.generation))
     {
         return;
     }
-    if (reads && pending->request.streamed && event.count != pending->next_index)
+    if (reads_generation && pending->request.streamed && event.count != pending->next_index)
     {
         return retry_owner(*pending);
     }
@@ -160,8 +161,8 @@
 
 // -- recovery -------------------------------------------------------------------------------------
 
-// The connection may have gone silent while the owner is well: ask it once on a new one before the
-// engine is read directly.
+// The connection may be silent although the owner is healthy: the owner is asked once on a new
+// connection before the engine is read directly.
 void relay_coordinator::retry_owner(relay& pending)
 {
     core_.emit(close_relay{pending.caller});
@@ -171,18 +172,18 @@
         return recover(pending, true);
     }
     count(core_.counts.resumed);
-    state::request again = pending.request;
-    again.op = state::operation::attach;
-    again.generation = pending.generation;
-    again.upstream_hint = pending.upstream;
-    again.next_index = pending.next_index;
+    state::request retry = pending.request;
+    retry.op = state::operation::attach;
+    retry.generation = pending.generation;
+    retry.upstream_hint = pending.upstream;
+    retry.next_index = pending.next_index;
     pending.silent_since = core_.now;
-    core_.emit(relay_request{pending.caller, pending.node, pending.address, std::move(again)});
+    core_.emit(relay_request{pending.caller, pending.node, pending.address, std::move(retry)});
     arm_timer(pending);
 }
 
-// What the owner dispatched lives on its engine and can be read there by identity and index; so
-// the answer outlives its owner. What has no identity yet, or a plain call, can't be found again.
+// A generation that the owner dispatched can be read from its engine by identity and index, so the
+// answer survives its owner. A request without an identity, or a plain call, can't be recovered.
 void relay_coordinator::recover(relay& pending, bool sent)
 {
     state::operation const op = pending.request.op;
@@ -214,9 +215,10 @@
 
 void relay_coordinator::refuse(relay& pending, state::error_kind kind)
 {
-    bool const begun = pending.request.streamed && pending.next_index > 0;
-    bool const ran = kind == state::error_kind::may_have_run;
-    core_.refuse(pending.caller, begun && ran ? state::error_kind::interrupted : kind,
+    bool const partly_sent = pending.request.streamed && pending.next_index > 0;
+    bool const possibly_ran = kind == state::error_kind::may_have_run;
+    core_.refuse(pending.caller,
+                 partly_sent && possibly_ran ? state::error_kind::interrupted : kind,
                  core_.view().preset.retry_after, pending.generation, pending.next_index);
     erase(pending.caller);
 }
@@ -267,9 +269,9 @@
     {
         return arm_timer(*pending);
     }
-    bool const late = pending->request.deadline != state::never &&
-                      core_.now >= pending->request.deadline + deadline_grace;
-    if (late || pending->blocked_since != state::never)
+    bool const past_deadline = pending->request.deadline != state::never &&
+                               core_.now >= pending->request.deadline + deadline_grace;
+    if (past_deadline || pending->blocked_since != state::never)
     {
         core_.emit(close_relay{caller});
         return refuse(*pending, state::error_kind::may_have_run);
--- a/src/coordination/relay_coordinator.hpp
+++ b/src/coordination/relay_coordinator.hpp
@@ -9,12 +9,13 @@
 #include <unordered_map>
 
 /// \file
-/// \brief Requests that another entry VM decides on, passed to it for callers of this one.
+/// \brief Relays requests of this VM's callers to the entry VM that decides on them.
 
 namespace plumdale::coordination
 {
 
-/// \brief The relaying side: checks what the owner sends, and reads the engine when the owner dies.
+/// \brief Relays requests, checks the owner's messages, and reads from the engine when the owner
+/// dies.
 class relay_coordinator
 {
 public:
--- a/src/coordination/request_shard.cpp
+++ b/src/coordination/request_shard.cpp
@@ -19,16 +19,17 @@
 
 attached_caller caller_of(request_received const& event)
 {
-    bool const reads_on = event.request.op == state::operation::attach && event.request.streamed;
+    bool const continues_stream =
+        event.request.op == state::operation::attach && event.request.streamed;
     return {event.caller, static_cast<bool>(event.relayed_by), event.request.streamed,
-            reads_on ? event.request.next_index : 0, event.request.deadline};
+            continues_stream ? event.request.next_index : 0, event.request.deadline};
 }
 
 } // namespace
 
 // -- routing --------------------------------------------------------------------------------------
 
-/// \brief Sends each event to the part that decides on it.
+/// \brief Routes each event to the part that handles it.
 class request_shard::implementation
 {
 public:
@@ -73,7 +74,7 @@
         {
             return core_.refuse(event.caller, error_kind::not_ready);
         }
-        request_received known = event;
+        request_received identified = event;
         if (!event.relayed_by)
         {
             state::customer const* const customer = fleet.find_customer(event.request.api_key);
@@ -81,22 +82,22 @@
             {
                 return core_.refuse(event.caller, error_kind::unauthenticated, {});
             }
-            known.request.customer = customer->id;
+            identified.request.customer = customer->id;
         }
         state::generation_id const& id = event.request.generation;
-        bool const genuine =
+        bool const authentic =
             !id || core_.context.signer.verify(id) || !core_.enabled(safeguard::identity_mac);
-        if (!genuine)
+        if (!authentic)
         {
             return core_.refuse(event.caller, error_kind::invalid_request, {});
         }
         bool const begins = event.request.op <= state::operation::reserve;
         if (begins && core_.on_hold() && core_.enabled(safeguard::pause_recheck))
         {
-            // It may have lain in a buffer for as long as the process was paused.
+            // The request may have been buffered for as long as the process was paused.
             return core_.refuse(event.caller, error_kind::not_ready);
         }
-        route(known);
+        route(identified);
     }
 
     void route(request_received const& event)
@@ -120,7 +121,7 @@
         }
     }
 
-    /// \brief Refuses what may not begin here now; returns whether it may.
+    /// \brief Refuses a request that may not begin on this VM now; returns whether it may.
     [[nodiscard]] bool admit(request_received const& event)
     {
         fleet_snapshot const& fleet = core_.view();
@@ -152,8 +153,8 @@
 
     // -- identities --------------------------------------------------------------------------
 
-    // Only the process named in an identity dispatches it, once: that is a local property of one
-    // process, which no cut, pause or stale view of the members can break.
+    // Only the process named in an identity dispatches it, once: this is a local property of one
+    // process, which no partition, pause or stale view of the members can break.
     void route_by_identity(request_received const& event)
     {
         state::generation_id const& id = event.request.generation;
@@ -202,8 +203,8 @@
         }
     }
 
-    // Nothing of this attempt ran; of earlier ones nobody is left who knows. What an engine has
-    // can still be read there, which runs nothing.
+    // This attempt did not run, and no process knows whether earlier ones did. A generation that an
+    // engine has can still be read there, which starts no run.
     void handle_missing_owner(request_received const& event)
     {
         state::request const& request = event.request;
@@ -253,7 +254,7 @@
         {
             return;
         }
-        // Noted before the dispatch, whose refusal clears it again.
+        // The key is recorded before the dispatch, because a refusal clears its generation again.
         state::generation_id const id = owner_.next_identity();
         key_resolver_.remember(event.request, id);
         owner_.accept(caller_of(event), event.request);
@@ -338,7 +339,8 @@
 
     void refresh_fleet()
     {
-        // The version is read first, so that a snapshot published meanwhile shows next time.
+        // The version is read first, so that a snapshot published in between counts as a change at
+        // the next event.
         bool const changed = pause_detector_.fleet_changed();
         core_.refresh_view();
         if (changed)
--- a/src/coordination/shard_core.hpp
+++ b/src/coordination/shard_core.hpp
@@ -13,12 +13,13 @@
 #include <utility>
 
 /// \file
-/// \brief What the parts of one shard share.
+/// \brief State that the parts of one shard share.
 
 namespace plumdale::coordination
 {
 
-/// \brief The event's time, the action buffer, the fleet and the shard's clock work.
+/// \brief The event's time, the action buffer, the fleet's snapshot and the shard's keys and
+/// timers.
 struct shard_core
 {
     shard_core(shard_context const& shared, std::uint32_t shard)
@@ -33,14 +34,14 @@
         return context.settings;
     }
 
-    /// \brief Takes the newest snapshot for the event at hand. Nothing else does: a snapshot that
-    /// is replaced in the middle of an event would take members and upstreams in use with it.
+    /// \brief Loads the newest snapshot for the current event. Nothing else does: replacing the
+    /// snapshot in the middle of an event would destroy members and upstreams in use.
     void refresh_view()
     {
         view_ = &fleet_.current();
     }
 
-    /// \brief Returns the snapshot that this event is decided by.
+    /// \brief Returns the snapshot used for the current event.
     [[nodiscard]] fleet_snapshot const& view() const noexcept
     {
         return *view_;
@@ -51,7 +52,7 @@
         return context.settings.safeguards.has(which);
     }
 
-    /// \brief Returns whether dispatches wait for fresh news after a pause.
+    /// \brief Returns whether dispatches wait for a newer snapshot after a pause.
     [[nodiscard]] bool on_hold() const noexcept
     {
         return now < hold_until;
@@ -69,7 +70,7 @@
         emit(send_refused{caller, kind, retry_after, generation, next_index});
     }
 
-    /// \brief Refuses with the preset's time to come back.
+    /// \brief Refuses with the preset's `retry_after`.
     void refuse(state::caller_handle caller, state::error_kind kind)
     {
         refuse(caller, kind, view().preset.retry_after);
