--- a/tests/coordination/control_checker.hpp
+++ b/tests/coordination/control_checker.hpp
@@ -3,23 +3,24 @@
 #include "fleet_values.hpp"
 
 /// \file
-/// \brief Checkers of what the nodes of a fleet had in force, offered and answered.
+/// \brief Checks what the nodes of a fleet have in force, offer and answer.
 
 namespace plumdale::testing
 {
 
-/// \brief What the checkers found; all zero when every promise held.
+/// \brief Violations by kind; all zero when every guarantee held.
 struct violations
 {
-    std::size_t reverts = 0;           ///< A node went back to an older switch.
-    std::size_t served_old = 0;        ///< A node came back and served under a preset all had left.
+    std::size_t reverts = 0; ///< A node reverted to an older switch.
+    std::size_t served_old =
+        0; ///< A returning node served under a preset that all others had left.
     std::size_t lost_switches = 0;     ///< An accepted switch was not in force in the end.
     std::size_t divergence = 0;        ///< Nodes that disagreed, or did not serve, after the heal.
-    std::size_t leaving_offered = 0;   ///< An upstream that leaves was offered again.
-    std::size_t late_marks = 0;        ///< A mark took over 2 s to a node that could hear of it.
+    std::size_t leaving_offered = 0;   ///< A leaving upstream was offered again.
+    std::size_t late_marks = 0;        ///< A mark took over 2 s to reach a connected node.
     std::size_t members_not_alive = 0; ///< Members that were not seen alive after the heal.
     std::size_t missing_or_repeated_answers =
-        0;                                 ///< Operators without an answer though their VM lived.
+        0;                                 ///< Several answers, or none though the VM stayed up.
     std::size_t requests_cut_by_drain = 0; ///< A drain ended with requests in flight.
     std::size_t wrong_orders = 0; ///< Engines that went back to, or stayed with, old orders.
 
@@ -31,14 +32,14 @@
     }
 };
 
-/// \brief Runs a fleet in small steps and looks at every node after each.
+/// \brief Runs a fleet in small steps and checks every node after each.
 class control_checker
 {
 public:
     explicit control_checker(fleet_loop& loop) : loop_{loop}, histories_(loop.nodes().size()) {}
 
     violations found;
-    /// \brief False while datagrams may not reach every node: then nobody can be late.
+    /// \brief False while datagrams may not reach every node: marks are not expected in time then.
     bool network_reliable = true;
 
     void step(state::duration time)
@@ -47,7 +48,7 @@
         while (loop_.now() < end)
         {
             loop_.run_for(std::min<state::duration>(20ms, end - loop_.now()));
-            // As of the step before: what spread while a node came back it may still lack.
+            // State before the step: a returning node may still lack what spread during it.
             std::vector<node_history> const before = histories_;
             for (std::size_t i = 0; i < histories_.size(); ++i)
             {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// \brief A node learnt that engine 1, in its first uptime, is leaving.
+    /// \brief Records that a node has learnt that engine 1, in its first incarnation, is leaving.
     void record_leaving_mark()
     {
         marked_ = true;
@@ -72,7 +73,7 @@
         requested_switches_.push_back({exchange, node, loop_.nodes()[node].start_count});
     }
 
-    /// \brief Checks what has to hold once all faults are over for long enough.
+    /// \brief Checks what has to hold when all faults have been over for long enough.
     void check_final_state()
     {
         state::preset_stamp const agreed = loop_.fleet(0)->in_force;
@@ -91,8 +92,9 @@
                 std::count_if(loop_.answers.begin(), loop_.answers.end(),
                               [&each](auto const& answer)
                               { return answer.second.exchange.value == each.exchange; });
-            bool const lived = loop_.nodes()[each.node].start_count == each.start_count;
-            found.missing_or_repeated_answers += answered > 1 || (lived && answered == 0) ? 1 : 0;
+            bool const stayed_up = loop_.nodes()[each.node].start_count == each.start_count;
+            found.missing_or_repeated_answers +=
+                answered > 1 || (stayed_up && answered == 0) ? 1 : 0;
         }
     }
 
@@ -104,7 +106,7 @@
         bool ready = false;
         state::time_point last_alive{};
         state::preset_stamp in_force;
-        /// \brief What all others had in force when this node came back.
+        /// \brief Lowest stamp that the others had in force when this node came back.
         state::preset_stamp minimum_stamp;
         bool has_stopped_offering = false;
     };
@@ -129,7 +131,7 @@
         {
             return;
         }
-        // A sleep within the tolerance is no more than a datagram that took long.
+        // A pause within the tolerance has no more effect than a slow datagram.
         bool const was_long =
             loop_.now() - history.last_alive > node.settings.pause_tolerance + 100ms;
         history.last_alive = loop_.now();
@@ -154,9 +156,9 @@
         bool const offered = is_marked && engine->accepting;
         found.leaving_offered += offered && history.has_stopped_offering ? 1 : 0;
         history.has_stopped_offering = history.has_stopped_offering || (is_marked && !offered);
-        bool const could_hear = marked_ && network_reliable && loop_.now() - marked_at_ > 2s &&
-                                fleet.ready && none_paused();
-        found.late_marks += could_hear && offered ? 1 : 0;
+        bool const must_know_mark = marked_ && network_reliable && loop_.now() - marked_at_ > 2s &&
+                                    fleet.ready && none_paused();
+        found.late_marks += must_know_mark && offered ? 1 : 0;
     }
 
     [[nodiscard]] bool none_paused() const
@@ -166,17 +168,17 @@
     }
 
     [[nodiscard]] static state::preset_stamp
-    lowest_in_force_except(std::size_t but, std::vector<node_history> const& before)
+    lowest_in_force_except(std::size_t excluded, std::vector<node_history> const& before)
     {
-        state::preset_stamp least{UINT64_MAX, 0, 0, {}};
+        state::preset_stamp lowest{UINT64_MAX, 0, 0, {}};
         for (std::size_t i = 0; i < before.size(); ++i)
         {
-            if (i != but && before[i].alive && before[i].ready)
+            if (i != excluded && before[i].alive && before[i].ready)
             {
-                least = std::min(least, before[i].in_force);
+                lowest = std::min(lowest, before[i].in_force);
             }
         }
-        return least.revision == UINT64_MAX ? state::preset_stamp{} : least;
+        return lowest.revision == UINT64_MAX ? state::preset_stamp{} : lowest;
     }
 
     void check_final_state_of(std::size_t i, state::preset_stamp const& agreed)
--- a/tests/coordination/fleet_loop.hpp
+++ b/tests/coordination/fleet_loop.hpp
@@ -47,9 +47,9 @@
     {
         return true;
     };
-    /// \brief Size of a datagram, when bytes are counted.
+    /// \brief Returns the size of a datagram in bytes; empty when bytes are not counted.
     std::function<std::size_t(peer_message const&)> size_of;
-    /// \brief What one read of an engine's load costs; zero when engines do not answer.
+    /// \brief Bytes that one read of an engine's load takes; zero when engines do not answer.
     std::size_t load_bytes = 0;
     std::vector<std::pair<std::size_t, answer_operator>> answers;
     std::vector<std::pair<std::size_t, send_order>> orders;
@@ -68,8 +68,8 @@
     {
         node_model& node = nodes_[i];
         node_settings settings = common_;
-        settings.self = {id_of(i), {node.zone + 1}, {1'000 + ++uptimes_}, 0,
-                         {},       endpoint_of(i),  endpoint_of(i)};
+        settings.self = {id_of(i),       {node.zone + 1}, {1'000 + ++incarnation_count_}, 0, {},
+                         endpoint_of(i), endpoint_of(i)};
         settings.fleet_key = "an example fleet key";
         settings.seeds.clear();
         for (std::size_t seed = 0; seed < std::min<std::size_t>(3, nodes_.size()); ++seed)
@@ -103,7 +103,7 @@
         nodes_[i].paused = true;
     }
 
-    /// \brief Wakes a paused node: what queued up in its sockets arrives first, at once.
+    /// \brief Wakes a paused node: events queued in its sockets arrive first, all at once.
     void wake(std::size_t i, bool report_pause = true)
     {
         node_model& node = nodes_[i];
@@ -145,7 +145,8 @@
         run_until(now_ + time, [] { return false; });
     }
 
-    /// \brief Runs until `done`, looked at after each event; returns whether it came in time.
+    /// \brief Runs until `done`, checked after each event, or `end`; returns whether `done` held by
+    /// then.
     template <class Done>
     bool run_until(state::time_point end, Done&& done)
     {
@@ -394,7 +395,7 @@
     std::map<std::uint64_t, std::size_t> readers_;
     std::uint64_t exchanges_ = 0;
     std::uint64_t order_ = 0;
-    std::uint64_t uptimes_ = 0;
+    std::uint64_t incarnation_count_ = 0;
     state::time_point now_ = start_time;
 };
 
--- a/tests/coordination/fleet_models.hpp
+++ b/tests/coordination/fleet_models.hpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 /// \file
-/// \brief The platform and the entry VMs of a fleet in virtual time.
+/// \brief Models of the platform and of a fleet's entry VMs in virtual time.
 
 namespace plumdale::testing
 {
@@ -28,7 +28,7 @@
 {
     bool down = false;
     std::set<std::size_t> disconnected_zones;
-    /// \brief What was published, by revision.
+    /// \brief Published events by revision.
     std::map<std::uint64_t, control_event> published;
     /// \brief A stale service shows nothing beyond this revision.
     std::uint64_t visible_revision = UINT64_MAX;
@@ -49,7 +49,7 @@
     std::unique_ptr<std::atomic<std::uint32_t>> in_flight;
     std::unique_ptr<control_plane> control;
     std::size_t zone = 0;
-    std::uint64_t start_count = 0; ///< Counts starts; events for an earlier one are lost.
+    std::uint64_t start_count = 0; ///< Counts starts; events for an earlier start are dropped.
     bool paused = false;
     std::vector<std::pair<state::time_point, control_event>> buffered_events;
     state::time_point timer = state::never;
--- a/tests/coordination/fleet_scenario.hpp
+++ b/tests/coordination/fleet_scenario.hpp
@@ -5,15 +5,16 @@
 #include <array>
 
 /// \file
-/// \brief Small fleets under random faults, with checkers of what every node had in force.
+/// \brief Small fleets under random faults, with checks of what every node has in force.
 
 namespace plumdale::testing
 {
 
 /// \brief One fleet of six nodes in three zones for about 70 s of virtual time.
 ///
-/// One VM at a time restarts empty or pauses, zones are cut off from each other and from the
-/// service, datagrams are lost, the service goes down or stale, operators switch, an engine leaves.
+/// One VM at a time restarts without state or pauses, zones are partitioned from each other and
+/// from the service, datagrams are lost, the service goes down or stale, operators switch presets,
+/// an engine leaves.
 class fleet_scenario
 {
 public:
@@ -71,12 +72,12 @@
             request_switch(preset);
             break;
         default:
-            if (std::size_t const witness = random_below(node_count);
-                !checker_.has_mark() && loop_.alive(witness))
+            if (std::size_t const informed_node = random_below(node_count);
+                !checker_.has_mark() && loop_.alive(informed_node))
             {
                 checker_.record_leaving_mark();
-                loop_.send(witness, upstream_leaving{{1}, {1}});
-                // Time to tell one other: a mark that dies with its only witness is known to none.
+                loop_.send(informed_node, upstream_leaving{{1}, {1}});
+                // Time to reach another node: a mark is lost if the only node that knows it stops.
                 step(200ms);
             }
         }
@@ -85,12 +86,13 @@
     void request_switch(std::string const& preset)
     {
         std::size_t const node = random_below(node_count);
-        std::uint8_t const who = static_cast<std::uint8_t>(1 + random_below(3));
+        std::uint8_t const operator_number = static_cast<std::uint8_t>(1 + random_below(3));
         if (loop_.alive(node))
         {
             checker_.record_switch_request(++exchange_, node);
             loop_.send(node,
-                       operator_switch{{exchange_}, operator_key(who), preset_named(preset), 0});
+                       operator_switch{
+                           {exchange_}, operator_key(operator_number), preset_named(preset), 0});
         }
     }
 
@@ -133,8 +135,8 @@
         }
     }
 
-    // One at a time, and only while the fleet is in one piece: the settings' promise is to outlive
-    // the loss of one VM, and a half of a cut fleet may be no more than one.
+    // Restarts one node at a time, and only if the fleet was never partitioned: with these settings
+    // the fleet survives the loss of one VM, and one side of a partition may be a single VM.
     void restart_random_node()
     {
         if (!never_partitioned_)
@@ -191,7 +193,7 @@
     std::uint64_t exchange_ = 0;
     std::size_t cut_zone_ = zone_count;
     std::size_t paused_node_ = node_count;
-    /// \brief No zone was cut off yet.
+    /// \brief Whether no zone has been partitioned off yet.
     bool never_partitioned_ = true;
 };
 
--- a/tests/coordination/fleet_values.hpp
+++ b/tests/coordination/fleet_values.hpp
@@ -3,7 +3,7 @@
 #include "fleet_loop.hpp"
 
 /// \file
-/// \brief What tests of the control plane publish.
+/// \brief Configuration that tests of the control plane publish.
 
 namespace plumdale::testing
 {
--- a/tests/coordination/shard_fixture.hpp
+++ b/tests/coordination/shard_fixture.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 /// \file
-/// \brief One shard with a policy that does as it is told.
+/// \brief One shard with a stub policy that the test controls.
 
 namespace plumdale::test
 {
@@ -20,7 +20,7 @@
 using namespace coordination;
 using namespace std::chrono_literals;
 
-/// \brief Dispatches to the first upstream, unless told to wait.
+/// \brief Dispatches to the first accepting upstream, or waits while `waits` is set.
 class stub_policy final : public dispatch_policy
 {
 public:
@@ -101,7 +101,8 @@
         shard->handle(event, now, actions);
     }
 
-    /// \brief Lets time pass, keeping every deadline; the actions of all of them stay.
+    /// \brief Advances time and delivers every due deadline; `actions` collects the actions of all
+    /// of them.
     void advance(state::duration time)
     {
         state::time_point const end = now + time;
--- a/tests/coordination/test_fault_matrix.cpp
+++ b/tests/coordination/test_fault_matrix.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// \brief Runs a cell until a seed breaks a promise; returns the number of seeds that did not.
+/// \brief Runs a cell until a seed violates a guarantee; returns the number of seeds that passed.
 std::uint64_t seeds_before_failure(cell const& each, safeguard_set safeguards,
                                    std::uint64_t max_seeds)
 {
@@ -37,19 +37,19 @@
                          [&](cell const& candidate)
                          { return candidate.step == each.step && candidate.fault == each.fault; });
         REQUIRE(found != cells.end());
-        std::uint64_t const held =
+        std::uint64_t const passed =
             seeds_before_failure(*found, safeguard_set{}.without(each.guard), max_seeds);
-        CHECK(held < max_seeds);
-        CHECK(seeds_before_failure(*found, {}, std::min(held + 1, max_seeds)) ==
-              std::min(held + 1, max_seeds));
+        CHECK(passed < max_seeds);
+        CHECK(seeds_before_failure(*found, {}, std::min(passed + 1, max_seeds)) ==
+              std::min(passed + 1, max_seeds));
     }
 }
 
 } // namespace
 
-// Each safeguard prevents something that callers see: a doubled list, a lost draft, an untrue "not
-// run", another's tokens, silence. With it off, its cell fails at some seed; with all of them on,
-// the same seeds pass.
+// Each safeguard prevents a failure that callers see: a duplicate run, a lost draft, a false "not
+// run", another caller's tokens, silence. With the safeguard off, its cell fails at some seed; with
+// all safeguards on, the same seeds pass.
 TEST_CASE("each safeguard of requests has a cell that fails without it", "[fault_matrix]")
 {
     std::vector<cell> cells = request_cells();
@@ -63,7 +63,7 @@
     check_guards(control_cells(), control_guards());
 }
 
-TEST_CASE("no safeguard is without such a cell", "[fault_matrix]")
+TEST_CASE("every safeguard has a cell that fails without it", "[fault_matrix]")
 {
     std::vector<guarded_cell> guards = request_guards();
     std::vector<guarded_cell> const of_control = control_guards();
--- a/tests/coordination/test_fleet_seeds.cpp
+++ b/tests/coordination/test_fleet_seeds.cpp
@@ -37,9 +37,9 @@
 
 } // namespace
 
-// Restarts, pauses, cuts, loss and outages of the service in random order, while operators switch
-// and an engine leaves. bench_fleet runs the same over many more seeds.
-TEST_CASE("small fleets keep their promises under random faults", "[fleet_seeds]")
+// Injects restarts, pauses, partitions, loss and outages of the service in random order, while
+// operators switch presets and an engine leaves. bench_fleet runs the same over many more seeds.
+TEST_CASE("small fleets keep their guarantees under random faults", "[fleet_seeds]")
 {
     for (std::uint64_t seed = 1; seed <= seed_count; ++seed)
     {
@@ -56,9 +56,9 @@
     }
 }
 
-// A VM that had just been replaced served before it knew which upstreams leave: it had caught up
-// with the presets of its peers, not with their marks, and for a moment offered work to an engine
-// that all others had left alone. These seeds showed it.
+// A replaced VM served after it had caught up with the presets of its peers, but not with their
+// leaving marks, and briefly offered work to an engine that all others had stopped using. These
+// seeds reproduced the failure.
 TEST_CASE("a replaced VM knows the leaving upstreams before it serves", "[fleet_seeds]")
 {
     for (std::uint64_t const seed : {1746, 2376, 4446, 5995, 6098, 7337})
@@ -68,7 +68,7 @@
     }
 }
 
-TEST_CASE("the checkers see what the safeguards prevent", "[fleet_seeds]")
+TEST_CASE("the checkers detect what the safeguards prevent", "[fleet_seeds]")
 {
     CHECK(without(safeguard::stamp_join).reverts > 0);
     CHECK(without(safeguard::leaving_mark).late_marks > 0);
--- a/tests/coordination/test_key_homes.cpp
+++ b/tests/coordination/test_key_homes.cpp
@@ -59,10 +59,10 @@
     CHECK(own < keys / nodes * 2);
 }
 
-// A caller's first attempt ran at its key's home, which then died. The repeat comes to the next VM
-// in order. That one takes the key only after the delay, and even then it can't know the past: it
+// A first attempt ran at its key's home, which then died, and the repeat arrives at the next VM in
+// order. That VM takes over the key only after the delay and does not know its earlier attempts: it
 // may run first attempts and has to refuse the repeat.
-TEST_CASE("keys of a dead home pass on late and with an unknown past", "[key_homes]")
+TEST_CASE("keys of a dead home are taken over late, with unknown earlier attempts", "[key_homes]")
 {
     key_homes homes{{1}, settings};
     auto members = members_except(1);
@@ -86,10 +86,10 @@
     }
 }
 
-// A zone with two of eight VMs is cut off. Both sides see the others as dead. If each side took the
-// other's keys, a first attempt on one side and its repeat on the other would both run. The smaller
-// side takes none, and knows that it is the smaller.
-TEST_CASE("the smaller side of a cut takes no keys", "[key_homes]")
+// A zone with two of eight VMs is partitioned off, and both sides see the others as dead. If each
+// side took over the other's keys, a first attempt on one side and its repeat on the other would
+// both run. The minority takes over none, and detects that it is the minority.
+TEST_CASE("the minority side of a partition takes over no keys", "[key_homes]")
 {
     key_homes homes{{1}, settings};
     auto members = members_except(1);
@@ -112,7 +112,7 @@
     }
 }
 
-TEST_CASE("a VM that knows fewer members than its settings name is incomplete", "[key_homes]")
+TEST_CASE("a VM that knows fewer members than its settings name lacks a majority", "[key_homes]")
 {
     key_homes homes{{1}, settings};
     homes.observe({}, state::time_point{1h});
@@ -123,9 +123,10 @@
     CHECK(homes.in_majority());
 }
 
-// A VM is cut off for so long that the others no longer list it. For one window it still runs first
-// attempts, and those may be repeated for another: until then its keys have an unknown past.
-TEST_CASE("a member that is listed no more counts for two windows", "[key_homes]")
+// A VM is partitioned off for so long that the others no longer list it. It still runs first
+// attempts for one window, and these may be repeated for another: until then, earlier attempts of
+// its keys are unknown.
+TEST_CASE("a member that is no longer listed counts for two windows", "[key_homes]")
 {
     key_homes homes{{1}, settings};
     auto members = members_except(1);
--- a/tests/coordination/test_plain_calls.cpp
+++ b/tests/coordination/test_plain_calls.cpp
@@ -5,9 +5,9 @@
 using namespace plumdale;
 using namespace plumdale::test;
 
-// A call that charges a family is sent to its service and the connection breaks before the answer.
-// The service can't be asked again, and may have charged: the caller is told so, and the call is
-// not sent anywhere else.
+// A call that charges an account is sent to its service and the connection breaks before the
+// answer. The service can't be asked again and may have charged: the caller gets `may_have_run`,
+// and the call is not sent to another service.
 TEST_CASE("a call that may not be repeated is not sent again", "[plain_calls]")
 {
     shard_fixture vm;
@@ -20,24 +20,25 @@
     CHECK(vm.in_flight == 0);
 }
 
-TEST_CASE("a call that provably did not run, or may be repeated, goes elsewhere", "[plain_calls]")
+TEST_CASE("a call that provably did not run, or may be repeated, is sent to another service",
+          "[plain_calls]")
 {
-    for (auto const& [why, repeatable] :
+    for (auto const& [cause, repeatable] :
          {std::pair{upstream_failure::not_connected, false},
           std::pair{upstream_failure::refused, false}, std::pair{upstream_failure::broken, true}})
     {
         shard_fixture vm;
         vm.send(request_received{{1}, vm.run_request(state::work_kind::call, repeatable), {}});
         open_stream const first = *vm.last_action<open_stream>();
-        vm.send(upstream_failed{first.stream, why});
+        vm.send(upstream_failed{first.stream, cause});
         REQUIRE(vm.last_action<open_stream>() != nullptr);
         CHECK(vm.last_action<open_stream>()->mode == stream_mode::start);
         CHECK(vm.last_action<open_stream>()->upstream != first.upstream);
     }
 }
 
-// The caller's connection is lost while its charged call runs; the repeat comes with the same key.
-// No service can be read again, so the owner keeps the answer, status included, and gives it out.
+// The caller's connection is lost while its charged call runs; the repeat has the same key. A
+// service can't be read again, so the owner keeps the answer, status included, and returns it.
 TEST_CASE("a repeated key gets the answer of the first call", "[plain_calls]")
 {
     shard_fixture vm;
@@ -65,9 +66,9 @@
     CHECK(vm.last_action<send_refused>()->kind == state::error_kind::key_in_use);
 }
 
-// A service takes the call and then says nothing for good. The caller is told after the bound, not
-// held until its own patience ends.
-TEST_CASE("a silent service is given up on", "[plain_calls]")
+// A service accepts the call and then stays silent. The caller is refused after the first-token
+// timeout instead of waiting until its own timeout.
+TEST_CASE("a call to a silent service ends after a timeout", "[plain_calls]")
 {
     shard_fixture vm;
     vm.send(request_received{{1}, vm.run_request(state::work_kind::call, false), {}});
--- a/tests/coordination/test_recent_keys.cpp
+++ b/tests/coordination/test_recent_keys.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("keys are forgotten after the window, and nothing is missed by that", "[key_memory]")
+TEST_CASE("keys that expire after the window do not move complete_since", "[recent_keys]")
 {
     state::time_point const start{1h};
     recent_keys keys{10min, 100, start};
@@ -27,10 +27,10 @@
     CHECK(keys.complete_since() == start);
 }
 
-// A caller repeats a key that was pushed out by many others before its window had passed: the
-// repeat finds nothing here. Since `complete_since` moved up to that key's time, the home VM is in
-// doubt and refuses the repeat instead of running it a second time.
-TEST_CASE("a key forgotten early moves the moment of complete memory", "[key_memory]")
+// A caller repeats a key that was evicted by many others before its window had passed, so the
+// repeat finds no entry. Since `complete_since` has moved up to that key's time, the home VM
+// refuses the repeat as in doubt instead of running it a second time.
+TEST_CASE("a key that is evicted early moves complete_since", "[recent_keys]")
 {
     state::time_point const start{1h};
     recent_keys keys{10min, 2, start};
--- a/tests/coordination/test_request_fleet.cpp
+++ b/tests/coordination/test_request_fleet.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-/// \brief Longer than keys are remembered, so that no VM counts as fresh.
+/// \brief Longer than keys are remembered, so that no VM counts as recently started.
 constexpr duration warm_up = 66s;
 
-/// \brief Begins orders of all kinds at random nodes over ten seconds; every other caller of a
-/// keyed one tells its attempt number.
+/// \brief Begins orders of all kinds at random nodes over ten seconds; every other keyed order
+/// carries its attempt number.
 void begin_orders(request_fleet& fleet, checked_callers& callers, std::size_t count)
 {
     for (std::size_t i = 0; i < count; ++i)
@@ -73,7 +73,7 @@
 
 } // namespace
 
-TEST_CASE("without faults every answer is whole", "[request_fleet]")
+TEST_CASE("without faults every answer is complete", "[request_fleet]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -90,10 +90,10 @@
 }
 
 // Callers send questions and billed drafts to four VMs in two zones while VMs and engines die,
-// pause, are cut off, fall silent and send wrong tokens, several at once. Whatever the order,
-// nobody sees a token twice, out of order or of another run, no billed draft runs twice, what was
-// refused as not run did not run, and everybody is answered.
-TEST_CASE("promises hold under random faults", "[request_fleet]")
+// pause, are cut off, fall silent and send wrong tokens, several at once. Whatever the order, no
+// caller receives a token twice, out of order or from another run, no billed draft runs twice, a
+// request refused as not run did not run, and every caller is answered.
+TEST_CASE("guarantees hold under random faults", "[request_fleet]")
 {
     for (std::uint64_t seed = 1; seed <= 150; ++seed)
     {
--- a/tests/coordination/test_silent_streams.cpp
+++ b/tests/coordination/test_silent_streams.cpp
@@ -11,17 +11,17 @@
 /// \brief Returns how long after its dispatch a request is started on another upstream.
 state::duration time_to_restart(shard_fixture& vm, state::request const& request)
 {
-    state::time_point const asked = vm.now;
+    state::time_point const sent_at = vm.now;
     vm.send(request_received{{1}, request, {}});
     open_stream const first = *vm.last_action<open_stream>();
-    while (vm.now < asked + 10min)
+    while (vm.now < sent_at + 10min)
     {
         vm.advance(100ms);
         open_stream const* const again = vm.last_action<open_stream>();
         if (again != nullptr && again->mode == stream_mode::start)
         {
             CHECK(again->upstream != first.upstream);
-            return vm.now - asked;
+            return vm.now - sent_at;
         }
     }
     return 10min;
@@ -29,19 +29,19 @@
 
 } // namespace
 
-// A shopper's question goes to an engine that froze. No token has left, and the question may be
-// repeated: after one resumption that stays silent too, it is asked elsewhere. Doubling the
-// patience with the frozen engine, as for a stream that has tokens, held the shopper for 61 s.
-TEST_CASE("a repeatable request leaves an engine that stays silent", "[silent_streams]")
+// A question that may be repeated goes to an engine that hangs before its first token. After one
+// resumption that stays silent too, the question is restarted on another engine. Doubling the
+// timeout for the hanging engine, as for a stream that has tokens, delayed the caller by 61 s.
+TEST_CASE("a repeatable request on a silent engine is restarted on another", "[silent_streams]")
 {
     shard_fixture vm;
     vm.settings.first_token_timeout = 2s;
     CHECK(time_to_restart(vm, vm.run_request(state::work_kind::question, true)) <= 6s);
 }
 
-// First tokens of questions come within 100 ms. The VM learns that, and no longer waits the longest
-// time that the settings allow before it looks whether the stream is alive.
-TEST_CASE("the patience with a first token is learnt", "[silent_streams]")
+// First tokens of questions arrive within 100 ms. The VM learns this, and no longer waits the
+// longest time that the settings allow before it checks whether the stream is alive.
+TEST_CASE("the first-token timeout is learnt", "[silent_streams]")
 {
     shard_fixture vm;
     for (std::uint64_t i = 1; i <= 20; ++i)
@@ -57,8 +57,8 @@
     CHECK(time_to_restart(vm, vm.run_request(state::work_kind::draft, true)) > 25s);
 }
 
-// A billed draft on a frozen engine can't be run elsewhere. It is read again a few times, and then
-// the caller is told that it may have run, instead of being held for a quarter of an hour.
+// A billed draft on a hanging engine can't be run elsewhere. It is resumed a few times, and then
+// the caller gets `may_have_run` instead of waiting for a quarter of an hour.
 TEST_CASE("a billed request on a silent engine is answered in bounded time", "[silent_streams]")
 {
     shard_fixture vm;
--- a/tests/coordination/test_waiting_requests.cpp
+++ b/tests/coordination/test_waiting_requests.cpp
@@ -5,7 +5,7 @@
 using namespace plumdale;
 using namespace plumdale::test;
 
-TEST_CASE("a waiting request is asked about again and then dispatched", "[waiting_requests]")
+TEST_CASE("a waiting request is reevaluated and then dispatched", "[waiting_requests]")
 {
     shard_fixture vm;
     vm.waits = true;
@@ -17,7 +17,7 @@
     CHECK(vm.last_action<open_stream>() != nullptr);
 }
 
-TEST_CASE("a stream that ends makes room for a waiting request", "[waiting_requests]")
+TEST_CASE("a stream that ends frees capacity for a waiting request", "[waiting_requests]")
 {
     shard_fixture vm;
     vm.send(request_received{{1}, vm.run_request(state::work_kind::draft, false), {}});
@@ -30,8 +30,9 @@
     CHECK(vm.last_action<open_stream>()->generation != first.generation);
 }
 
-// A caller gives 300 ms and the engines are full. At 300 ms, not later, it is told that nothing
-// ran and when to come back; a draft whose caller left while it waited is not dispatched either.
+// A request has a deadline of 300 ms and the engines are full. At 300 ms, not later, it is refused
+// as not run, with a retry time; a draft whose caller disconnected while it waited is not
+// dispatched either.
 TEST_CASE("a waiting request ends with its deadline or its caller", "[waiting_requests]")
 {
     shard_fixture vm;
@@ -54,10 +55,10 @@
     CHECK(vm.in_flight == 0);
 }
 
-// The process stops for 20 s while a request waits. When it wakes, its list of engines is as old as
-// the stop: the engine it would choose may have left. Nothing is dispatched, and no new run taken,
-// until the fleet's snapshot was published anew.
-TEST_CASE("a woken process dispatches only by fresh news", "[waiting_requests]")
+// The process is paused for 20 s while a request waits. Its list of engines is then as old as the
+// pause, and the engine that it would choose may have left. No request is dispatched, and no new
+// run accepted, until a newer snapshot of the fleet is published.
+TEST_CASE("after a pause, requests are dispatched only with a newer snapshot", "[waiting_requests]")
 {
     shard_fixture vm;
     vm.waits = true;
@@ -77,9 +78,9 @@
     CHECK(vm.last_action<open_stream>()->upstream == state::upstream_id{501});
 }
 
-// A VM drains. What it took is finished; a reservation it gave out is refused by itself, the only
-// process that could run it, so "not run" stays true for ever.
-TEST_CASE("a draining VM refuses reservations truthfully", "[waiting_requests]")
+// A draining VM finishes its accepted requests and refuses to run its reservations. No other
+// process can run them, so the reported "not run" stays true for ever.
+TEST_CASE("a draining VM refuses to run its reservations", "[waiting_requests]")
 {
     shard_fixture vm;
     state::request reservation;
