--- a/include/plumdale/coordination/key_homes.hpp
+++ b/include/plumdale/coordination/key_homes.hpp
@@ -9,8 +9,8 @@
 #include <unordered_map>
 
 /// \file
-/// \brief Finds the entry VM that decides on an idempotency key, and whether that VM knows all
-/// earlier attempts.
+/// \brief Finds the entry VM that decides on an idempotency key, and reports whether another VM may
+/// have decided on it earlier.
 
 namespace plumdale::coordination
 {
--- a/tests/coordination/test_request_fleet.cpp
+++ b/tests/coordination/test_request_fleet.cpp
@@ -90,9 +90,9 @@
 }
 
 // Callers send questions and billed drafts to four VMs in two zones while VMs and engines die,
-// pause, are cut off, fall silent and send wrong tokens, several at once. Whatever the order, no
-// caller receives a token twice, out of order or from another run, no billed draft runs twice, a
-// request refused as not run did not run, and every caller is answered.
+// pause, are partitioned off, fall silent and send wrong tokens, several at once. Whatever the
+// order, no caller receives a token twice, out of order or from another run, no billed draft runs
+// twice, a request refused as not run did not run, and every caller is answered.
 TEST_CASE("guarantees hold under random faults", "[request_fleet]")
 {
     for (std::uint64_t seed = 1; seed <= 150; ++seed)
