--- a/tests/coordination/test_cold_upstream_limiter.cpp
+++ b/tests/coordination/test_cold_upstream_limiter.cpp
@@ -12,14 +12,14 @@
 using namespace plumdale::coordination;
 using namespace std::chrono_literals;
 
-// Load pattern: many entry VMs see the same upstreams come back empty and cold at the same moment,
-// under four times the usual calls, while news of each other's calls is still under way.
+// Load pattern: the same upstreams become available, empty and cold, to many entry VMs at the same
+// moment, under four times the usual calls, while updates on each other's calls are in flight.
 
 namespace
 {
 
 constexpr state::cold_limits limits{35.0, 1s};
-constexpr state::time_point began{100s};
+constexpr state::time_point start_time{100s};
 constexpr auto evacuated_zone = state::id_from_name<state::zone_id>("a");
 
 state::service lists()
@@ -37,21 +37,22 @@
     return state::id_from_name<state::node_id>("vm-" + std::to_string(index));
 }
 
-/// \brief One entry VM that has known its peers for long.
+/// \brief One entry VM that has known its peers for 10 s.
 struct entry_vm
 {
     entry_vm(std::size_t index, std::size_t vms)
-        : random{static_cast<unsigned>(index + 1)}, fleet{node(index)}, share{fleet, node(index),
-                                                                              began - 20s},
-          limits{fleet, node(index)}, choice{directory, ledger, health, share, limits, "a", random}
+        : random{static_cast<unsigned>(index + 1)}, fleet{node(index)}, limiter{fleet, node(index),
+                                                                                start_time - 20s},
+          limits{fleet, node(index)}, selector{directory, ledger, health, limiter,
+                                               limits,    "a",    random}
     {
         for (std::size_t i = 0; i < vms; ++i)
         {
-            fleet_update news;
-            news.sender = node(i);
-            news.incarnation_number = state::incarnation{1};
-            news.sequence = 1;
-            fleet.apply_update(news, {}, 0, began - 10s);
+            fleet_update update;
+            update.sender = node(i);
+            update.incarnation_number = state::incarnation{1};
+            update.sequence = 1;
+            fleet.apply_update(update, {}, 0, start_time - 10s);
         }
     }
 
@@ -63,7 +64,7 @@
         member.zone = zone;
         member.slots = 24;
         member.revision = 1;
-        directory.merge(member, began - 10s);
+        directory.merge(member, start_time - 10s);
         state::member_key const key = state::key_of(member);
         ledger.add(key, {key, 1, tokens, tokens, 0});
     }
@@ -73,14 +74,14 @@
     load_ledger ledger;
     outlier_detector health;
     fleet_view fleet;
-    cold_upstream_limiter share;
+    cold_upstream_limiter limiter;
     upstream_limits limits;
-    upstream_selector choice;
+    upstream_selector selector;
 };
 
 using fleet_of_vms = std::vector<std::unique_ptr<entry_vm>>;
 
-// 44 upstreams in four zones, of which those of one have been emptied.
+// 44 upstreams in four zones, one of which has been evacuated.
 fleet_of_vms loaded_fleet(std::size_t vms)
 {
     fleet_of_vms fleet;
@@ -92,33 +93,33 @@
             std::string const zone(1, static_cast<char>('a' + upstream % 4));
             fleet.back()->list("i-" + std::to_string(upstream), zone, zone == "a" ? 0 : 9'000);
         }
-        fleet.back()->directory.evacuations().take({5, {{evacuated_zone, 5}}}, began - 5s);
+        fleet.back()->directory.evacuations().take({5, {{evacuated_zone, 5}}}, start_time - 5s);
         fleet.back()->directory.mark_complete();
     }
     return fleet;
 }
 
-// Plays calls at `rate` a second over the fleet; returns the most arrivals in a second at one
-// upstream of the zone while it is cold.
+// Sends `rate` calls per second to random VMs of the fleet. Returns the most arrivals within one
+// second at any upstream of zone a.
 std::size_t max_arrivals_per_second(fleet_of_vms& fleet, int rate, state::duration time)
 {
     state::service const service = lists();
     std::map<state::member_key, std::deque<state::time_point>> arrivals;
     std::size_t most = 0;
-    std::minstd_rand drawn{7};
+    std::minstd_rand random_vm{7};
     state::duration const step = std::chrono::duration_cast<state::duration>(1s) / rate;
-    for (state::time_point now = began; now < began + time; now += step)
+    for (state::time_point now = start_time; now < start_time + time; now += step)
     {
-        entry_vm& vm = *fleet[drawn() % fleet.size()];
-        auto const chosen = vm.choice.choose(service, {2'000, 100}, {"a"}, now);
+        entry_vm& vm = *fleet[random_vm() % fleet.size()];
+        auto const chosen = vm.selector.choose(service, {2'000, 100}, {"a"}, now);
         if (!chosen)
         {
             continue;
         }
         directory_entry const& entry = *vm.directory.find(chosen->member);
-        if (vm.choice.is_cold(entry, service, now))
+        if (vm.selector.is_cold(entry, service, now))
         {
-            vm.share.note_sent(chosen->member, now);
+            vm.limiter.note_sent(chosen->member, now);
         }
         if (entry.info.zone != "a")
         {
@@ -137,16 +138,17 @@
 
 } // namespace
 
-// 300 VMs send all they have to eleven upstreams that come back from an evacuation: each gets more
-// than it bears while cold, and crashes.
-TEST_CASE("upstreams back from an evacuation get what they bear while cold", "[cold_share][load]")
+// Guards against overloading eleven upstreams when their evacuation ends: up to 300 VMs send all
+// their calls to them, and each gets more than its cold limit and crashes.
+TEST_CASE("upstreams stay within their cold limit after an evacuation",
+          "[cold_upstream_limiter][load]")
 {
     for (std::size_t const vms : {6U, 60U, 300U})
     {
         fleet_of_vms fleet = loaded_fleet(vms);
         for (auto const& vm : fleet)
         {
-            vm->directory.evacuations().take({9, {}}, began);
+            vm->directory.evacuations().take({9, {}}, start_time);
         }
         std::size_t const most = max_arrivals_per_second(fleet, 1'200, limits.time);
         CAPTURE(vms);
@@ -155,18 +157,20 @@
     }
 }
 
-// The zone went dark and comes back: nobody orders it, VMs find it reachable again.
-TEST_CASE("upstreams that were unreachable get what they bear while cold", "[cold_share][load]")
+// Guards against the same overload after a network failure of a zone: no order ends it, VMs just
+// find the zone reachable again.
+TEST_CASE("upstreams that were unreachable stay within their cold limit",
+          "[cold_upstream_limiter][load]")
 {
     fleet_of_vms fleet = loaded_fleet(300);
     for (auto const& vm : fleet)
     {
-        vm->directory.evacuations().take({6, {}}, began - 4s);
+        vm->directory.evacuations().take({6, {}}, start_time - 4s);
         for (auto const& [key, entry] : vm->directory.entries())
         {
             if (entry.info.zone == "a")
             {
-                vm->health.note(key, call_result::unreachable, began - 500ms);
+                vm->health.note(key, call_result::unreachable, start_time - 500ms);
             }
         }
     }
@@ -174,38 +178,41 @@
           static_cast<std::size_t>(limits.requests_per_second));
 }
 
-// A tenth of the VMs hear nothing of the others, and share the same upstreams with them.
-TEST_CASE("VMs that are cut off from the others keep to their share", "[cold_share][load]")
+// Guards against VMs, such as a tenth of the fleet, that are cut off from their peers and count
+// themselves as the only senders.
+TEST_CASE("VMs that are cut off from the others keep to their share",
+          "[cold_upstream_limiter][load]")
 {
     fleet_of_vms fleet = loaded_fleet(300);
     for (std::size_t i = 0; i < fleet.size(); ++i)
     {
-        fleet[i]->directory.evacuations().take({9, {}}, began);
-        // Silent for a minute: still counted as sharing.
-        fleet[i]->fleet.forget_silent(began + 60s);
+        fleet[i]->directory.evacuations().take({9, {}}, start_time);
+        // Peers that were silent for a minute still count as senders.
+        fleet[i]->fleet.forget_silent(start_time + 60s);
     }
     CHECK(max_arrivals_per_second(fleet, 1'200, limits.time) <=
           static_cast<std::size_t>(limits.requests_per_second));
 }
 
-// All VMs lost power: each starts with a fleet of one, and would take the whole allowance.
-TEST_CASE("a VM that has just started sends nothing to a cold upstream", "[cold_share]")
+// Guards against VMs that use the whole allowance after a fleet-wide power loss, as each at first
+// knows only itself.
+TEST_CASE("a VM that has just started sends nothing to a cold upstream", "[cold_upstream_limiter]")
 {
     fleet_view fleet{node(0)};
-    cold_upstream_limiter const share{fleet, node(0), began};
+    cold_upstream_limiter const limiter{fleet, node(0), start_time};
     state::member_key const member{1};
-    CHECK_FALSE(share.may_send(member, limits, began + 900ms));
-    CHECK(share.may_send(member, limits, began + 1s));
-    fleet_update news;
-    news.sender = node(1);
-    news.sequence = 1;
-    fleet.apply_update(news, {}, 0, began + 1s);
-    CHECK_FALSE(share.may_send(member, limits, began + 1'900ms));
-    CHECK(share.may_send(member, limits, began + 2s));
+    CHECK_FALSE(limiter.may_send(member, limits, start_time + 900ms));
+    CHECK(limiter.may_send(member, limits, start_time + 1s));
+    fleet_update update;
+    update.sender = node(1);
+    update.sequence = 1;
+    fleet.apply_update(update, {}, 0, start_time + 1s);
+    CHECK_FALSE(limiter.may_send(member, limits, start_time + 1'900ms));
+    CHECK(limiter.may_send(member, limits, start_time + 2s));
 }
 
-// An upstream says by a later entry that it is cold again, without a new start.
-TEST_CASE("an upstream that becomes cold again is taken for cold", "[cold_share]")
+// Guards against missing that an upstream becomes cold again, without a restart, by a later entry.
+TEST_CASE("an upstream that becomes cold again is treated as cold", "[cold_upstream_limiter]")
 {
     entry_vm vm{0, 300};
     vm.list("i-1", "a", 0);
@@ -213,47 +220,47 @@
     auto const key = *vm.directory.latest("i-1");
     auto const is_cold = [&](state::time_point now)
     {
-        return vm.choice.is_cold(*vm.directory.find(key), service, now);
+        return vm.selector.is_cold(*vm.directory.find(key), service, now);
     };
-    CHECK_FALSE(is_cold(began));
+    CHECK_FALSE(is_cold(start_time));
     state::service_member again = vm.directory.find(key)->info;
     again.cold_ms = 700;
     again.revision = 2;
-    // Told to peers: they don't read its entry.
-    CHECK(vm.directory.merge(again, began) == directory_change::cold);
+    // Reported to peers, as they don't read its entry.
+    CHECK(vm.directory.merge(again, start_time) == directory_change::cold);
     CHECK(vm.directory.find(key)->info.cold_ms == 700);
     again.revision = 3;
     again.cold_ms = 300;
-    CHECK(vm.directory.merge(again, began + 400ms) == directory_change::none);
-    CHECK(is_cold(began + 699ms));
-    CHECK_FALSE(is_cold(began + 700ms));
-    vm.directory.note_cold(key, 2s, began);
-    CHECK(is_cold(began + 1'999ms));
-    // Damage: it would get next to nothing for weeks.
-    vm.directory.note_cold(key, 1'000h, began);
-    CHECK_FALSE(is_cold(began + service_directory::max_cold_time));
+    CHECK(vm.directory.merge(again, start_time + 400ms) == directory_change::none);
+    CHECK(is_cold(start_time + 699ms));
+    CHECK_FALSE(is_cold(start_time + 700ms));
+    vm.directory.note_cold(key, 2s, start_time);
+    CHECK(is_cold(start_time + 1'999ms));
+    // A damaged value would limit the upstream for weeks.
+    vm.directory.note_cold(key, 1'000h, start_time);
+    CHECK_FALSE(is_cold(start_time + service_directory::max_cold_time));
     state::service plain = lists();
     plain.cold.reset();
-    CHECK_FALSE(vm.choice.is_cold(*vm.directory.find(key), plain, began));
+    CHECK_FALSE(vm.selector.is_cold(*vm.directory.find(key), plain, start_time));
 }
 
-TEST_CASE("a VM of a small fleet may send several a second, one of a large fleet to some",
-          "[cold_share]")
+TEST_CASE("a VM may send several a second in a small fleet, and to some upstreams in a large one",
+          "[cold_upstream_limiter]")
 {
     entry_vm few{0, 6};
     state::member_key const member{1};
     for (int sent = 0; sent < 5; ++sent)
     {
-        REQUIRE(few.share.may_send(member, limits, began));
-        few.share.note_sent(member, began);
+        REQUIRE(few.limiter.may_send(member, limits, start_time));
+        few.limiter.note_sent(member, start_time);
     }
-    CHECK_FALSE(few.share.may_send(member, limits, began));
-    CHECK(few.share.may_send(member, limits, began + 1'001ms));
+    CHECK_FALSE(few.limiter.may_send(member, limits, start_time));
+    CHECK(few.limiter.may_send(member, limits, start_time + 1'001ms));
     std::size_t allowed = 0;
     for (std::size_t i = 0; i < 300; ++i)
     {
         entry_vm const many{i, 300};
-        allowed += many.share.may_send(member, limits, began) ? 1 : 0;
+        allowed += many.limiter.may_send(member, limits, start_time) ? 1 : 0;
     }
     CHECK(allowed == 35);
 }
--- a/tests/coordination/test_customer_shares.cpp
+++ b/tests/coordination/test_customer_shares.cpp
@@ -25,10 +25,9 @@
 
 } // namespace
 
-// One story draws nearly all demand: a customer asks for far more than there is. Its callers are
-// refused, those of the modest customer are served; the entry VM knows both demands and nothing
-// else.
-TEST_CASE("in a burst only the customer that makes it is over its share", "[customer_shares]")
+// Guards against refusing a modest customer's calls while another customer requests far more than
+// the capacity. The entry VM knows nothing but both demands.
+TEST_CASE("in a burst only the customer that causes it is over its share", "[customer_shares]")
 {
     customer_shares shares;
     auto const customers = two_customers();
@@ -46,7 +45,7 @@
     CHECK(shares.status(modest, draft) == share_status::within_share);
 }
 
-TEST_CASE("while all demand is met nobody is over a share", "[customer_shares]")
+TEST_CASE("while all demand is met no customer is over its share", "[customer_shares]")
 {
     customer_shares shares;
     auto const customers = two_customers();
@@ -60,7 +59,7 @@
     CHECK(shares.status(large, draft) == share_status::within_share);
 }
 
-TEST_CASE("weights move the shares", "[customer_shares]")
+TEST_CASE("shares follow the weights", "[customer_shares]")
 {
     customer_shares shares;
     auto customers = two_customers();
@@ -78,7 +77,7 @@
     CHECK(shares.status(modest, draft) == share_status::over_share);
 }
 
-TEST_CASE("hard limits are divided by the deciders, rounded up", "[customer_shares]")
+TEST_CASE("hard limits are divided by the dispatchers, rounded up", "[customer_shares]")
 {
     customer_shares shares;
     auto customers = two_customers();
@@ -94,7 +93,7 @@
     shares.ended(large, 1, 1);
     CHECK(shares.status(large, draft) == share_status::within_share);
 
-    shares.granted(modest, 600); // 100 a second here, 500 at once.
+    shares.granted(modest, 600); // 100 per second here, bursts of 500.
     CHECK(shares.status(modest, draft) == share_status::over_limit);
     shares.refresh(at(12));
     CHECK(shares.status(modest, draft) == share_status::within_share);
--- a/tests/coordination/test_fleet_retry_budget.cpp
+++ b/tests/coordination/test_fleet_retry_budget.cpp
@@ -13,17 +13,17 @@
 
 } // namespace
 
-TEST_CASE("repeats stay a share of the calls plus this VM's part of the slack",
-          "[repeat_allowance]")
+TEST_CASE("retries stay within a share of the calls plus this VM's part of the slack",
+          "[fleet_retry_budget]")
 {
-    fleet_retry_budget allowance{limit};
+    fleet_retry_budget budget{limit};
     state::time_point const now{100s};
     for (int i = 0; i < 100; ++i)
     {
-        allowance.note_call(now);
+        budget.note_call(now);
     }
     int granted = 0;
-    while (allowance.take(now, 9))
+    while (budget.take(now, 9))
     {
         ++granted;
     }
@@ -31,32 +31,32 @@
     CHECK(granted == 17);
 }
 
-// All upstreams of a service fail at once and every call wants to be sent again, at nine entry VMs.
-// The fleet's bound holds in each window because each VM holds its part in each window.
-TEST_CASE("the bound holds in every window of a storm", "[repeat_allowance][load]")
+// Guards against a retry storm when all upstreams of a service fail at once and every call is to be
+// sent again, at nine entry VMs. The fleet's bound holds in each window if each VM's part does.
+TEST_CASE("the bound holds in every window of a retry storm", "[fleet_retry_budget][load]")
 {
-    fleet_retry_budget allowance{limit};
+    fleet_retry_budget budget{limit};
     state::time_point now{100s};
     int calls = 0;
     int granted = 0;
     for (int step = 0; step < 400; ++step)
     {
         now += 25ms;
-        allowance.note_call(now);
+        budget.note_call(now);
         ++calls;
-        granted += allowance.take(now, 9) ? 1 : 0;
+        granted += budget.take(now, 9) ? 1 : 0;
     }
     CHECK(granted <= limit.ratio * calls + limit.slack / 9);
     CHECK(granted >= fleet_retry_budget::used_fraction * limit.ratio * calls);
 }
 
-TEST_CASE("what was spent comes back when the window has passed", "[repeat_allowance]")
+TEST_CASE("spent retries are available again once the window has passed", "[fleet_retry_budget]")
 {
-    fleet_retry_budget allowance{limit};
+    fleet_retry_budget budget{limit};
     state::time_point const now{100s};
-    while (allowance.take(now, 1))
+    while (budget.take(now, 1))
     {
     }
-    CHECK_FALSE(allowance.take(now + 5s, 1));
-    CHECK(allowance.take(now + 11s, 1));
+    CHECK_FALSE(budget.take(now + 5s, 1));
+    CHECK(budget.take(now + 11s, 1));
 }
--- a/tests/coordination/test_generation_admission.cpp
+++ b/tests/coordination/test_generation_admission.cpp
@@ -18,9 +18,9 @@
 constexpr admission_request retried_draft{750, true, 0ms, 1'800ms, 7'200ms};
 constexpr admission_request retried_question{12, true, 0ms, 1'500ms, 6'000ms};
 
-// -- a crowd --------------------------------------------------------------------------------------
+// -- overload -------------------------------------------------------------------------------------
 
-/// \brief How drafts are taken; the two ways that are compared.
+/// \brief An admission policy for drafts; the tests compare two.
 struct policy
 {
     std::function<bool(admission_request const&, projected_load const&)> admits;
@@ -57,10 +57,10 @@
     std::size_t longest_asked = 0;
 };
 
-// A late answer earns a sixth; a second refusal costs its caller a third of what it would be worth.
-double total_value(outcome const& of)
+// A late answer earns a sixth of its value; a second refusal costs its caller a third of it.
+double total_value(outcome const& result)
 {
-    return of.on_time + 0.15 * of.late - 0.3 * of.refused_twice;
+    return result.on_time + 0.15 * result.late - 0.3 * result.refused_twice;
 }
 
 constexpr double memory_tokens = 21'867.0;
@@ -68,19 +68,19 @@
 constexpr state::duration token_time = 13ms;
 constexpr std::uint32_t longest_draft_tokens = 1'500;
 
-// Worth by size, as a caller pays: part by the prompt, tokens generated count ten times.
+// Value by size, as a caller pays: a part for the prompt; generated tokens count ten times.
 double value_of(std::uint32_t tokens)
 {
     return 0.3 + 0.7 * (prompt_tokens + 10.0 * tokens) / (prompt_tokens + 7'500.0);
 }
 
-projected_load load_at(upstream const& at, std::uint32_t tokens, state::time_point now)
+projected_load load_at(upstream const& target, std::uint32_t tokens, state::time_point now)
 {
     double held = 0.0;
-    for (upstream::run const& run : at.runs)
+    for (upstream::run const& run : target.runs)
     {
-        double const made = static_cast<double>((now - run.began) / token_time);
-        held += prompt_tokens + (std::min<double>(made, run.tokens) + run.tokens) / 2.0;
+        double const generated = static_cast<double>((now - run.began) / token_time);
+        held += prompt_tokens + (std::min<double>(generated, run.tokens) + run.tokens) / 2.0;
     }
     return {(held + prompt_tokens + tokens / 2.0) / memory_tokens, 0.0, 450ms};
 }
@@ -90,8 +90,8 @@
 class overload_model
 {
 public:
-    explicit overload_model(policy how, double load = 1.4, std::uint32_t seed = 17)
-        : policy_{std::move(how)}, load_{load}, random_{seed}
+    explicit overload_model(policy admission, double load = 1.4, std::uint32_t seed = 17)
+        : policy_{std::move(admission)}, load_{load}, random_{seed}
     {
     }
 
@@ -116,7 +116,7 @@
     draft new_draft(state::time_point now)
     {
         // Log-normal with a mean of 750 tokens, as drafts are: most are shorter, few reach the
-        // bound.
+        // upper bound.
         std::lognormal_distribution<double> length{6.0, 1.1};
         auto const tokens = static_cast<std::uint32_t>(std::clamp(length(random_), 20.0, 1'780.0));
         ++outcome_.asked;
@@ -124,7 +124,7 @@
         return {tokens, now, false, {}};
     }
 
-    [[nodiscard]] static admission_request claim_of(draft const& each, state::time_point now)
+    [[nodiscard]] static admission_request request_of(draft const& each, state::time_point now)
     {
         return {each.tokens, each.is_retry, now - each.asked, 1'800ms, 7'200ms};
     }
@@ -132,7 +132,7 @@
     void arrive(draft each, state::time_point now)
     {
         each.asked = now;
-        each.wait_until = now + policy_.longest_wait(claim_of(each, now));
+        each.wait_until = now + policy_.longest_wait(request_of(each, now));
         waiting_.push_back(each);
     }
 
@@ -140,9 +140,9 @@
     {
         auto const due = std::partition(retrying_.begin(), retrying_.end(),
                                         [now](draft const& each) { return each.wait_until > now; });
-        std::vector<draft> const back{due, retrying_.end()};
+        std::vector<draft> const retries{due, retrying_.end()};
         retrying_.erase(due, retrying_.end());
-        for (draft const& each : back)
+        for (draft const& each : retries)
         {
             arrive(each, now);
         }
@@ -150,28 +150,28 @@
 
     void end_runs(state::time_point now)
     {
-        for (upstream& at : upstreams_)
+        for (upstream& target : upstreams_)
         {
-            std::erase_if(at.runs, [now](upstream::run const& run) { return run.ends <= now; });
+            std::erase_if(target.runs, [now](upstream::run const& run) { return run.ends <= now; });
         }
     }
 
     bool start(draft const& each, state::time_point now)
     {
         double mean = 0.0;
-        for (upstream const& at : upstreams_)
+        for (upstream const& target : upstreams_)
         {
-            mean += load_at(at, 0, now).fullness / static_cast<double>(upstreams_.size());
+            mean += load_at(target, 0, now).fullness / static_cast<double>(upstreams_.size());
         }
         std::uniform_int_distribution<std::size_t> draw{0, upstreams_.size() - 1};
-        upstream& at = upstreams_[draw(random_)];
-        projected_load projected = load_at(at, each.tokens, now);
+        upstream& target = upstreams_[draw(random_)];
+        projected_load projected = load_at(target, each.tokens, now);
         projected.mean_fullness = mean;
-        if (!policy_.admits(claim_of(each, now), projected))
+        if (!policy_.admits(request_of(each, now), projected))
         {
             return false;
         }
-        at.runs.push_back({each.tokens, now, now + each.tokens * token_time});
+        target.runs.push_back({each.tokens, now, now + each.tokens * token_time});
         (each.is_retry ? outcome_.late : outcome_.on_time) += value_of(each.tokens);
         ++outcome_.served;
         outcome_.longest_served += each.tokens >= longest_draft_tokens ? 1 : 0;
@@ -180,7 +180,7 @@
 
     void try_waiting(state::time_point now)
     {
-        std::vector<draft> still;
+        std::vector<draft> still_waiting;
         for (draft& each : waiting_)
         {
             if (start(each, now))
@@ -189,7 +189,7 @@
             }
             if (now < each.wait_until)
             {
-                still.push_back(each);
+                still_waiting.push_back(each);
                 continue;
             }
             if (each.is_retry)
@@ -203,7 +203,7 @@
                 draw_retry_after(38s, std::uniform_real_distribution<double>{0.0, 1.0}(random_));
             retrying_.push_back(each);
         }
-        waiting_ = std::move(still);
+        waiting_ = std::move(still_waiting);
     }
 
     policy policy_;
@@ -215,8 +215,8 @@
     std::minstd_rand random_;
 };
 
-// One limit for all; returning drafts wait most of their callers' patience for an upstream that
-// happens to be emptier.
+// One limit for all drafts; retries wait for most of their callers' silence timeout for an emptier
+// upstream.
 policy uniform_policy()
 {
     return {[](admission_request const& request, projected_load const& projected)
@@ -234,7 +234,8 @@
 
 } // namespace
 
-TEST_CASE("a draft that comes back yields, a question does not", "[generation_admission]")
+TEST_CASE("a retried draft yields to first attempts, a retried question does not",
+          "[generation_admission]")
 {
     projected_load const projected{0.6, 0.8, 400ms};
     CHECK(admits(first_attempt_draft, projected));
@@ -245,7 +246,7 @@
     CHECK_FALSE(yields_to_first_attempts(retried_question));
 }
 
-TEST_CASE("a fresh generation is not sent where it can only be late", "[generation_admission]")
+TEST_CASE("a first attempt is not sent where it can only be late", "[generation_admission]")
 {
     CHECK_FALSE(admits(first_attempt_draft, {0.5, 0.5, 1'300ms}));
     admission_request waited = first_attempt_draft;
@@ -253,7 +254,7 @@
     CHECK_FALSE(admits(waited, {0.5, 0.5, 400ms}));
 }
 
-TEST_CASE("the longer an answer, the sooner an upstream counts as full", "[generation_admission]")
+TEST_CASE("the longer an answer, the lower its limit on fullness", "[generation_admission]")
 {
     CHECK(fullness_limit(12) > fullness_limit(750));
     CHECK(fullness_limit(750) > fullness_limit(1'780));
@@ -263,19 +264,19 @@
     CHECK(fullness_limit(0) <= 1.05);
 }
 
-// A caller that can't be served for seconds is told at once, while an eighth of its objective has
-// not passed; a short answer may still find room.
-TEST_CASE("long answers that come back are refused at once where there is no room",
-          "[generation_admission]")
+// Guards against late refusals: a caller that can't be served for seconds is refused before an
+// eighth of its objective has passed. A short answer may still find capacity.
+TEST_CASE("retries of long answers are refused at once without capacity", "[generation_admission]")
 {
     CHECK(longest_wait(retried_draft) <= 1'800ms / 8);
     CHECK(longest_wait(retried_question) == 3'600ms);
     CHECK(longest_wait(first_attempt_draft) == 810ms);
 }
 
-// Load pattern: long prompts in a crowd. One that needs .9 s to be read and waited for .7 s of 1.5
-// s was refused then, though it could not have been on time for the last quarter of a second.
-TEST_CASE("a generation is refused as soon as no upstream can have it in time",
+// Load pattern: long prompts under overload. Guards against late refusals: one that needs .9 s of
+// processing was refused after .7 s of 1.5 s, though it could not be on time for the last quarter
+// of a second.
+TEST_CASE("a generation is refused as soon as no upstream can answer it in time",
           "[generation_admission][load]")
 {
     admission_request long_prompt{12, false, 0ms, 1'500ms, 6'000ms, 900ms};
@@ -284,9 +285,9 @@
     CHECK(limit_for(long_prompt, {0.1, 0.1, 900ms}) == admission_limit::time_to_first_event);
 }
 
-// A prompt that takes longer than the objective at any upstream: refused, its caller would get
-// nothing, where it would take a late answer.
-TEST_CASE("a generation that is late anyway is sent", "[generation_admission]")
+// Guards against refusing a prompt that takes longer than the objective at any upstream: its caller
+// would accept a late answer.
+TEST_CASE("a generation that can't be on time anywhere is sent", "[generation_admission]")
 {
     admission_request const request{12, false, 300ms, 1'500ms, 6'000ms, 1'100ms};
     CHECK(admits(request, {0.5, 0.5, 1'200ms}));
@@ -302,34 +303,33 @@
     CHECK(limit_name(limit_for(first_attempt_draft, {0.5, 0.5, 400ms})) == "none");
 }
 
-TEST_CASE("refused callers come back spread, within the time they obey", "[generation_admission]")
+TEST_CASE("retry delays are spread within the range that callers honor", "[generation_admission]")
 {
     CHECK(draw_retry_after(39s, 0.0) >= 5s);
     CHECK(draw_retry_after(39s, 0.999) < 13s);
     CHECK(draw_retry_after(0s, 0.5) == state::duration::zero());
 }
 
-// Load pattern: drafts at 1.4 times what memory carries, for a minute; refused callers come back
-// once, after 5 to 12 s, and are late then. Taken alike, the returning ones fill what becomes free,
-// since they wait for longer than fresh ones, and earn a sixth. Bound: a twentieth more worth on
-// time, and in all; the model gives 0.06, and the day on which it was first seen gained a fifth.
-TEST_CASE("in a crowd memory goes to drafts that are on time", "[generation_admission][load]")
+// Load pattern: drafts at 1.4 times what memory carries, for a minute; refused callers retry once,
+// after 5 to 12 s, and are late then. Guards against retries that fill the memory that becomes
+// free, as they wait for longer than first attempts, and earn a sixth. Bound: a twentieth more
+// value on time and in total; the model gives 0.06, the load on which this was first seen a fifth.
+TEST_CASE("under overload memory goes to drafts that are on time", "[generation_admission][load]")
 {
-    outcome const alike = overload_model{uniform_policy()}.run();
-    outcome const built = overload_model{current_policy()}.run();
-    INFO("on time " << alike.on_time << " -> " << built.on_time << ", late " << alike.late << " -> "
-                    << built.late << ", refused " << alike.refused_twice << " -> "
-                    << built.refused_twice << ", longest " << built.longest_served << " of "
-                    << built.longest_asked);
-    CHECK(built.on_time > 1.05 * alike.on_time);
-    CHECK(total_value(built) > 1.05 * total_value(alike));
+    outcome const uniform = overload_model{uniform_policy()}.run();
+    outcome const current = overload_model{current_policy()}.run();
+    INFO("on time " << uniform.on_time << " -> " << current.on_time << ", late " << uniform.late
+                    << " -> " << current.late << ", refused " << uniform.refused_twice << " -> "
+                    << current.refused_twice << ", longest " << current.longest_served << " of "
+                    << current.longest_asked);
+    CHECK(current.on_time > 1.05 * uniform.on_time);
+    CHECK(total_value(current) > 1.05 * total_value(uniform));
 }
 
-// Load pattern: drafts at 1.4 and at twice what memory carries. Whoever asks for the longest drafts
-// must not be the one who never gets any: the longest are served at least half as often as all.
-// With limits that fell by 0.15 a thousand tokens they were served a third as often at twice the
-// load.
-TEST_CASE("the longest drafts are not starved in a crowd", "[generation_admission][load]")
+// Load pattern: drafts at 1.4 and at twice what memory carries. Guards against starving the longest
+// drafts, which are to be served at least half as often as all. With limits that fall by 0.15 per
+// thousand tokens they are served a third as often at twice the load.
+TEST_CASE("the longest drafts are not starved under overload", "[generation_admission][load]")
 {
     double const load = GENERATE(1.4, 2.0);
     outcome sum;
--- a/tests/coordination/test_length_estimator.cpp
+++ b/tests/coordination/test_length_estimator.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("what counts is the length so far", "[length_estimator]")
+TEST_CASE("the estimate depends on the length so far", "[length_estimator]")
 {
     length_estimator lengths{100};
     for (int i = 0; i < 60; ++i)
@@ -55,14 +55,15 @@
     {
         learn(lengths, 1, static_cast<std::uint32_t>(draw(random)));
     }
-    // The median is 1,556 tokens; 30 answers know a chance of one half to about 0.09.
+    // The median is 1,556 tokens; the standard error of a chance of one half over 30 answers is
+    // 0.09.
     CHECK(chance(lengths, 1, 0, 1556) == Approx(0.5).margin(0.25));
     CHECK(chance(lengths, 1, 0, 12'000) < 0.15);
 }
 
-// A customer changes what it asks for: its answers are suddenly ten times as long. The caller sees
-// nothing; but an estimate that kept the old lengths would admit drafts that overflow the engine.
-// Running outputs count before they end, so the estimate turns while the first long ones still run.
+// Guards against admitting drafts that overflow the engine when a customer's answers suddenly
+// become ten times as long. Running outputs count before they end, so the estimate changes while
+// the first long ones still run.
 TEST_CASE("a sudden shift is learnt within some tens of answers", "[length_estimator]")
 {
     length_estimator lengths{100};
@@ -91,7 +92,7 @@
     CHECK(chance(lengths, 1, 0, 800) > 0.35);
 }
 
-TEST_CASE("a new customer starts from its model", "[length_estimator]")
+TEST_CASE("a new customer starts from the estimate of its model", "[length_estimator]")
 {
     length_estimator lengths{100};
     for (int i = 0; i < 100; ++i)
@@ -101,7 +102,7 @@
     CHECK(chance(lengths, 2, 0, 1000) > 0.8);
 }
 
-TEST_CASE("memory is bounded, and open cells are never given away", "[length_estimator]")
+TEST_CASE("memory is bounded, and open estimates are never evicted", "[length_estimator]")
 {
     length_estimator lengths{8};
     auto const held = lengths.open(key_of(1));
--- a/tests/coordination/test_load_forecaster.cpp
+++ b/tests/coordination/test_load_forecaster.cpp
@@ -28,20 +28,21 @@
 
 } // namespace
 
-TEST_CASE("own streams count once, whether or not the report has seen them", "[load_book]")
+TEST_CASE("own streams count once, whether or not the report includes them", "[load_forecaster]")
 {
     forecaster_fixture f;
     report(f.gauge, 100, 2, at(0)); // 1,600 tokens of others.
     f.hold(800, at(0.5));
     CHECK(f.forecaster.forecast(f.gauge, at(0.6)).held == Approx(2400));
-    report(f.gauge, 150, 3, at(1)); // Now the report holds the own stream too.
+    report(f.gauge, 150, 3, at(1)); // Now the report includes the own stream.
     CHECK(f.forecaster.forecast(f.gauge, at(1.5)).held == Approx(2400));
     CHECK(f.forecaster.forecast(f.gauge, at(1.5)).batch == Approx(3));
 }
 
-// An engine's reports are lost for minutes. The caller sees its answers as before: own streams are
-// counted without reports, and the others' part stays what it was, instead of falling to nothing.
-TEST_CASE("a lost report leaves own streams exact and the others' part as it was", "[load_book]")
+// Guards against a forecast that falls to zero when an engine's reports are lost for minutes: own
+// streams are counted without reports, and the others' part stays unchanged.
+TEST_CASE("a lost report leaves own streams exact and the others' part unchanged",
+          "[load_forecaster]")
 {
     forecaster_fixture f;
     report(f.gauge, 100, 2, at(0));
@@ -52,7 +53,8 @@
     CHECK(f.forecaster.forecast(f.gauge, at(3)).held == Approx(11'600));
 }
 
-TEST_CASE("a wrong report can't make the others negative or larger than the memory", "[load_book]")
+TEST_CASE("a wrong report can't make the others' part negative or exceed the memory",
+          "[load_forecaster]")
 {
     forecaster_fixture f;
     f.hold(5000, at(0));
@@ -62,7 +64,7 @@
     CHECK(f.forecaster.forecast(f.gauge, at(1.6)).held <= 5000 + 65'536);
 }
 
-TEST_CASE("the forecast widens with the age of the report", "[load_book]")
+TEST_CASE("the forecast widens with the age of the report", "[load_forecaster]")
 {
     forecaster_fixture f;
     upstream_view view;
@@ -80,7 +82,7 @@
     CHECK(late.load.variance[2] > fresh.load.variance[2]);
 }
 
-TEST_CASE("an ended stream leaves nothing behind", "[load_book]")
+TEST_CASE("an ended stream leaves nothing behind", "[load_forecaster]")
 {
     forecaster_fixture f;
     report(f.gauge, 0, 0, at(0));
@@ -92,7 +94,7 @@
     CHECK(forecast.load.mean[2] == 0);
 }
 
-TEST_CASE("the history tells what was held when a late report was true", "[held_history]")
+TEST_CASE("the history returns what was held at the time of a late report", "[own_load_history]")
 {
     own_load_history history;
     CHECK(history.at(at(1), at(2), {9, 9}).tokens == 0);
@@ -101,6 +103,6 @@
     CHECK(history.at(at(1.5), at(2.2), {300, 3}).tokens == 100);
     CHECK(history.at(at(2.1), at(2.2), {300, 3}).streams == 3);
     CHECK(history.at(at(0.5), at(2.2), {300, 3}).tokens == 0);
-    // Longer ago than is remembered: the current figures are the best guess.
+    // Before the oldest sample, the current figures are the best estimate.
     CHECK(history.at(at(2), at(60), {42, 1}).tokens == 42);
 }
--- a/tests/coordination/test_load_ledger.cpp
+++ b/tests/coordination/test_load_ledger.cpp
@@ -13,7 +13,7 @@
 
 constexpr state::member_key upstream{7};
 constexpr state::node_id peer{3};
-constexpr state::incarnation first_uptime{100};
+constexpr state::incarnation first_incarnation{100};
 
 member_load load_of(std::uint32_t calls, std::uint32_t tokens)
 {
@@ -22,61 +22,62 @@
 
 } // namespace
 
-TEST_CASE("own and peers' calls add up, and go when they end", "[load_ledger]")
+TEST_CASE("own and peers' calls add up, and are removed when they end", "[load_ledger]")
 {
     load_ledger ledger;
     state::time_point const now{10s};
     ledger.add(upstream, load_of(1, 3'000));
-    std::vector<member_load> const told{load_of(2, 5'000)};
-    ledger.take(peer, first_uptime, 1, true, told, now);
+    std::vector<member_load> const reported{load_of(2, 5'000)};
+    ledger.take(peer, first_incarnation, 1, true, reported, now);
     CHECK(ledger.total(upstream) == member_load{upstream, 3, 8'000, 9'000, 8'000});
 
     ledger.remove(upstream, load_of(1, 3'000));
     CHECK(ledger.total(upstream).calls == 2);
-    ledger.take(peer, first_uptime, 2, true, {}, now);
+    ledger.take(peer, first_incarnation, 2, true, {}, now);
     CHECK(ledger.total(upstream).calls == 0);
 }
 
-// Datagrams overtake each other. A caller's answer ended at a peer, whose message that says so
-// comes before the one that told of its start: the call would count for ever as one in flight.
-TEST_CASE("a message that was overtaken does not bring ended calls back", "[load_ledger]")
+// Guards against counting a call as in flight for ever, when the peer's datagram on its end arrives
+// before the one on its start.
+TEST_CASE("a reordered message does not restore ended calls", "[load_ledger]")
 {
     load_ledger ledger;
     state::time_point const now{10s};
     std::vector<member_load> const started{load_of(1, 3'000)};
     std::vector<member_load> const ended{load_of(0, 0)};
-    ledger.take(peer, first_uptime, 6, false, ended, now);
-    ledger.take(peer, first_uptime, 5, false, started, now);
+    ledger.take(peer, first_incarnation, 6, false, ended, now);
+    ledger.take(peer, first_incarnation, 5, false, started, now);
     CHECK(ledger.total(upstream).calls == 0);
 }
 
-TEST_CASE("another uptime of a peer begins without calls and with any sequence", "[load_ledger]")
+TEST_CASE("another incarnation of a peer starts without calls and with any sequence",
+          "[load_ledger]")
 {
     load_ledger ledger;
     state::time_point const now{10s};
-    std::vector<member_load> const told{load_of(2, 5'000)};
-    ledger.take(peer, first_uptime, 900, true, told, now);
+    std::vector<member_load> const reported{load_of(2, 5'000)};
+    ledger.take(peer, first_incarnation, 900, true, reported, now);
     ledger.take(peer, state::incarnation{50}, 1, false, {}, now);
     CHECK(ledger.total(upstream).calls == 0);
 }
 
-// An entry VM loses power. Its calls end at the upstreams with its connections; a ledger that kept
-// them would hold memory free for nobody.
-TEST_CASE("calls of a silent peer are forgotten", "[load_ledger]")
+// Guards against reserving memory for calls of an entry VM that lost power: they end at the
+// upstreams with its connections.
+TEST_CASE("calls of a silent peer are removed", "[load_ledger]")
 {
     load_ledger ledger;
     state::time_point const now{10s};
-    std::vector<member_load> const told{load_of(2, 5'000)};
-    ledger.take(peer, first_uptime, 1, true, told, now);
+    std::vector<member_load> const reported{load_of(2, 5'000)};
+    ledger.take(peer, first_incarnation, 1, true, reported, now);
     ledger.forget_silent(now + 1s, 3500ms);
     CHECK(ledger.total(upstream).calls == 2);
     ledger.forget_silent(now + 3501ms, 3500ms);
     CHECK(ledger.total(upstream).calls == 0);
 }
 
-// A plain call takes 30 ms and holds no memory: a row of it is wrong before it arrives, and made
-// entry VMs avoid upstreams that had nothing to do.
-TEST_CASE("peers are told of what holds memory only", "[load_ledger]")
+// Guards against entry VMs that avoid idle upstreams: a plain call takes 30 ms and holds no memory,
+// so its row is outdated before it arrives.
+TEST_CASE("peers get only rows that hold memory", "[load_ledger]")
 {
     load_ledger ledger;
     constexpr state::member_key plain{8};
--- a/tests/coordination/test_load_update_queue.cpp
+++ b/tests/coordination/test_load_update_queue.cpp
@@ -23,65 +23,66 @@
 
 } // namespace
 
-TEST_CASE("changes are told once, and together", "[load_news]")
+TEST_CASE("changes are sent once, and together", "[load_update_queue]")
 {
-    load_update_queue news{30'000.0};
-    news.push(first);
-    news.push(second);
-    news.push(first);
-    CHECK(news.due(now, peers) == std::vector<state::member_key>{first, second});
-    CHECK(news.due(now + 1s, peers).empty());
+    load_update_queue queue{30'000.0};
+    queue.push(first);
+    queue.push(second);
+    queue.push(first);
+    CHECK(queue.due(now, peers) == std::vector<state::member_key>{first, second});
+    CHECK(queue.due(now + 1s, peers).empty());
 }
 
-// Two entry VMs choose the upstream that has just come. If the second hears of the first one's
-// start a tenth of a second later, both prompts are read one after the other and the second caller
-// is late.
-TEST_CASE("a change is told at once while the budget lasts", "[load_news]")
+// Guards against two entry VMs that choose the same new upstream: if the second learns of the first
+// one's call a tenth of a second later, the upstream processes both prompts one after the other and
+// the second answer is late.
+TEST_CASE("a change is sent at once while the budget lasts", "[load_update_queue]")
 {
-    load_update_queue news{30'000.0};
+    load_update_queue queue{30'000.0};
     for (int i = 0; i < 4; ++i)
     {
-        news.push(first);
-        CHECK(news.due(now + i * 1ms, peers).size() == 1);
+        queue.push(first);
+        CHECK(queue.due(now + i * 1ms, peers).size() == 1);
     }
 }
 
-// An entry VM that gets most of its zone's connections has spent its budget. What changes then is
-// told in one message when the budget has grown, and nothing is forgotten.
-TEST_CASE("what exceeds the budget is told together later", "[load_news]")
+// Guards against losing changes of an entry VM that gets most of its zone's connections and has
+// spent its budget: they are sent in batches once the budget has been refilled.
+TEST_CASE("changes beyond the budget are sent together later", "[load_update_queue]")
 {
-    load_update_queue news{load_update_queue::default_bytes_per_second};
-    std::size_t told = 0;
+    load_update_queue queue{load_update_queue::default_bytes_per_second};
+    std::size_t sent = 0;
     for (int i = 0; i < 50; ++i)
     {
-        news.push(state::member_key{static_cast<std::uint64_t>(i)});
-        told += news.due(now, peers).size();
+        queue.push(state::member_key{static_cast<std::uint64_t>(i)});
+        sent += queue.due(now, peers).size();
     }
-    CHECK(told < 5);
-    CHECK(news.due(now + 3s, peers).size() == load_update_queue::max_rows);
-    // That cost three bursts, which come back in six seconds.
-    CHECK(news.due(now + 4s, peers).empty());
-    CHECK(news.due(now + 12s, peers).size() == 50 - told - load_update_queue::max_rows);
+    CHECK(sent < 5);
+    CHECK(queue.due(now + 3s, peers).size() == load_update_queue::max_rows);
+    // That cost three bursts, which take six seconds to refill.
+    CHECK(queue.due(now + 4s, peers).empty());
+    CHECK(queue.due(now + 12s, peers).size() == 50 - sent - load_update_queue::max_rows);
 }
 
-// Load pattern: each entry VM of 9, 91 and 380 begins and ends 17 generations a second, its part of
-// 26,000 requests a second with one in four a generation. Whatever the size of the fleet, an entry
-// VM stays within its budget, and never falls silent.
-TEST_CASE("load news stay within their bytes at any size of fleet", "[load_news][load]")
+// Load pattern: each entry VM of 9, 91 and 380 starts and ends 17 generations per second, its part
+// of 26,000 requests per second of which one in four is a generation. At any fleet size an entry VM
+// stays within its budget and keeps sending.
+TEST_CASE("load updates stay within their byte budget at any fleet size",
+          "[load_update_queue][load]")
 {
     constexpr int seconds = 60;
     for (std::size_t const fleet : {std::size_t{9}, std::size_t{91}, std::size_t{380}})
     {
-        load_update_queue news{load_update_queue::default_bytes_per_second};
+        load_update_queue queue{load_update_queue::default_bytes_per_second};
         double bytes = 0.0;
         std::size_t messages = 0;
         for (int step = 0; step < seconds * 100; ++step)
         {
             auto const count = static_cast<std::uint64_t>(step);
-            news.push(state::member_key{count % 97});
-            auto const told = news.due(now + step * 10ms, fleet - 1);
-            messages += told.empty() ? 0 : 1;
-            bytes += told.empty() ? 0.0 : bytes_of(told.size(), fleet - 1);
+            queue.push(state::member_key{count % 97});
+            auto const sent = queue.due(now + step * 10ms, fleet - 1);
+            messages += sent.empty() ? 0 : 1;
+            bytes += sent.empty() ? 0.0 : bytes_of(sent.size(), fleet - 1);
         }
         INFO("fleet " << fleet << ", " << messages << " messages");
         CHECK(bytes <= (seconds + load_update_queue::burst_seconds) *
--- a/tests/coordination/test_overflow_limit.cpp
+++ b/tests/coordination/test_overflow_limit.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("a draft leaves room for questions, in memory and in the batch", "[overflow_limit]")
+TEST_CASE("drafts leave capacity for questions, in memory and in the batch", "[overflow_limit]")
 {
     overflow_limit limit;
     state::preset preset;
@@ -41,8 +41,8 @@
           capacity_status::free);
 }
 
-// Drafts will have filled the engine in twenty seconds. A question is over long before, so that its
-// caller isn't refused for what drafts may come to hold.
+// Guards against refusing questions because drafts are projected to fill the engine in twenty
+// seconds: a question ends long before.
 TEST_CASE("a question is not held to the drafts' horizon", "[overflow_limit]")
 {
     overflow_limit limit;
@@ -66,9 +66,9 @@
     CHECK(limit.deviations() == Approx(2.576).margin(0.01));
 }
 
-// Preemptions rise tenfold a few percent above a knee that nobody knows beforehand. Here an engine
-// that overflows above a hidden limit stands for it: answers are stalled by preemptions until the
-// limit is below the knee, and refused without need while it is far below.
+// Guards against a limit that stays above the knee, where preemptions rise tenfold within a few
+// percent and stall answers, or far below it, where requests are refused without need. The engine
+// modelled here overflows above a limit that is not known beforehand.
 TEST_CASE("the limit finds a hidden knee from either side", "[overflow_limit]")
 {
     double const knee = GENERATE(0.8, 1.0, 1.2);
@@ -85,7 +85,7 @@
     CHECK(preempted / (1000 * 20.0) < 0.006);
 }
 
-TEST_CASE("a limit that nothing meets is left alone", "[overflow_limit]")
+TEST_CASE("a limit that no request reaches is unchanged", "[overflow_limit]")
 {
     overflow_limit limit;
     limit.configure(state::preset{});
--- a/tests/coordination/test_request_quarantine.cpp
+++ b/tests/coordination/test_request_quarantine.cpp
@@ -29,7 +29,8 @@
 } // namespace
 
 // Guards against a request that ends one upstream after the other under new ids.
-TEST_CASE("a request under which two upstreams ended is refused, others are not", "[quarantine]")
+TEST_CASE("a request that two upstreams ran as they ended is refused, others are not",
+          "[quarantine]")
 {
     request_quarantine quarantine;
     CHECK(quarantine.upstream_ended(request, upstream(1), at(0s)));
@@ -40,7 +41,7 @@
     CHECK(quarantine.refused_count() == 1);
 }
 
-// Guards against counting one end twice: two attempts at one upstream tell of it, and peers repeat
+// Guards against counting one ended upstream twice: two attempts at it report it, and peers repeat
 // it.
 TEST_CASE("an upstream that ended counts once for a request", "[quarantine]")
 {
@@ -62,9 +63,9 @@
     CHECK(quarantine.digest() == 0);
 }
 
-// Guards against refusing a request that many ask for, when several upstreams that run it lose
+// Guards against refusing a request that many callers send, when several upstreams that run it lose
 // power at the same moment.
-TEST_CASE("a request that was answered lately is not blamed, by this VM or by peers",
+TEST_CASE("a request that was answered lately is not refused, by this VM or by peers",
           "[quarantine]")
 {
     request_quarantine here;
@@ -86,7 +87,7 @@
         there.apply_update(each, at(30s));
     }
     CHECK_FALSE(there.refuses(request, at(30s)));
-    // Its answers speak for it for a while only.
+    // Answers clear it for a limited time only.
     CHECK(here.upstream_ended(request, upstream(1), at(30s + 2 * answered_requests::retention)));
 }
 
@@ -99,8 +100,8 @@
     CHECK(quarantine.unreported().empty());
 }
 
-// Guards against VMs that differ for good after lost, repeated and reordered datagrams.
-TEST_CASE("evidence in any order and any number of times gives the same", "[quarantine]")
+// Guards against VMs that stay different after lost, repeated and reordered datagrams.
+TEST_CASE("evidence in any order and any number of times gives the same result", "[quarantine]")
 {
     for (unsigned seed = 0; seed < 2'000; ++seed)
     {
@@ -129,8 +130,8 @@
     }
 }
 
-// Guards against a VM that started later, or was cut off, and knows nothing.
-TEST_CASE("one that knows nothing learns all from a peer's evidence", "[quarantine]")
+// Guards against a VM that started later, or was cut off, and has no evidence.
+TEST_CASE("a VM without evidence gets all from a peer", "[quarantine]")
 {
     request_quarantine one;
     for (std::uint64_t i = 1; i <= 20; ++i)
@@ -146,7 +147,7 @@
     CHECK(another.digest() == one.digest());
     CHECK(another.refused_count() == 10);
     CHECK(one.evidence(20, at(1s)).size() == 20);
-    // Of refused ones first.
+    // All of it is on refused requests.
     request_quarantine part;
     for (request_evidence const& each : one.evidence(20, at(1s)))
     {
@@ -155,8 +156,7 @@
     CHECK(part.refused_count() == 10);
 }
 
-TEST_CASE("a refused request may be sent again once nobody asked for it for a while",
-          "[quarantine]")
+TEST_CASE("a refused request may be sent again once it has not arrived for a while", "[quarantine]")
 {
     request_quarantine quarantine;
     quarantine.upstream_ended(request, upstream(1), at(0s));
@@ -171,8 +171,8 @@
     CHECK(quarantine.digest() == 0);
 }
 
-// Guards against evidence of before that makes the memory grow, or pushes out a refused request.
-TEST_CASE("memory is bounded and keeps what is refused", "[quarantine]")
+// Guards against old evidence that makes the memory grow, or evicts a refused request.
+TEST_CASE("memory is bounded and keeps refused requests", "[quarantine]")
 {
     request_quarantine quarantine;
     quarantine.upstream_ended(request, upstream(1), at(0s));
@@ -202,8 +202,8 @@
     CHECK(quarantine.digest() == 0);
 }
 
-// Guards against links that fill up where a zone is cut off and hundreds of calls end together.
-TEST_CASE("of ends that come together a few are told, and no two VMs are made equal by them",
+// Guards against saturated links when a zone is cut off and hundreds of calls end at once.
+TEST_CASE("of many upstreams that end at once a few are reported, and digests stay equal",
           "[quarantine][load]")
 {
     request_quarantine quarantine;
