--- a/include/plumdale/coordination/broadcast_tree.hpp
+++ b/include/plumdale/coordination/broadcast_tree.hpp
@@ -8,13 +8,13 @@
 #include <vector>
 
 /// \file
-/// \brief Who passes a message on to whom, so that all of a fleet have it after a few steps.
+/// \brief Which entry VM forwards a message to which, so that a fleet has it after a few steps.
 
 namespace plumdale::coordination
 {
 
-/// \brief The entry VMs whose places lie between `first` and `last`, both included. Places are
-/// counted from the one that began the message, which has place 0 and is in no range.
+/// \brief The entry VMs whose places are between `first` and `last`, inclusive. Places are relative
+/// to the origin of the message, which has place 0 and is in no range.
 struct broadcast_range
 {
     state::node_id origin;
@@ -22,7 +22,7 @@
     std::uint64_t last = UINT64_MAX;
 };
 
-/// \brief An entry VM to send to, and the range that it passes the message on to.
+/// \brief An entry VM to send to, and the range that it forwards the message to.
 struct broadcast_branch
 {
     state::node_id receiver;
@@ -30,24 +30,24 @@
     bool has_subrange = false;
 };
 
-/// \brief Returns to whom the holder of `range` sends message `message`.
+/// \brief Returns the VMs that the holder of `range` sends message `message` to.
 ///
 /// Each of at most `fan_out` entry VMs gets an equal part of those in the range. Places differ
-/// from message to message, so that the same VMs aren't always the ones to pass on. Views of the
-/// fleet need not agree: each step divides by its own.
+/// from message to message, so that it isn't always the same VMs that forward. Views of the
+/// fleet need not agree: each VM divides its range by its own view.
 [[nodiscard]] std::vector<broadcast_branch> branches_of(broadcast_range range,
                                                         std::uint64_t message,
                                                         std::span<state::node_id const> peers,
                                                         std::size_t fan_out);
 
-/// \brief With 4, all of 380 are reached in five steps, and none sends to more than four.
+/// \brief With 4, a fleet of 380 is reached in five steps, and no VM sends to more than four.
 inline constexpr std::size_t tree_fan_out = 4;
-/// \brief A datagram to so many is sent in 40 ms over a link of 10 Mbit/s.
+/// \brief Sending a datagram to this many peers takes 40 ms over a link of 10 Mbit/s.
 inline constexpr std::size_t max_direct_peers = 32;
-/// \brief Trees of one message: a lost datagram in one of them takes a part of the fleet with it.
+/// \brief Trees of one message: a datagram lost in one of them cuts off a part of the fleet.
 inline constexpr std::size_t trees_per_message = 2;
 
-/// \brief Returns to how many a message to `peers` goes at once: small fleets need no tree.
+/// \brief Returns the fan-out of a message to `peers` VMs: small fleets need no tree.
 [[nodiscard]] constexpr std::size_t fan_out_for(std::size_t peers) noexcept
 {
     return peers <= max_direct_peers ? peers : tree_fan_out;
--- a/include/plumdale/coordination/configuration_catch_up.hpp
+++ b/include/plumdale/coordination/configuration_catch_up.hpp
@@ -6,12 +6,13 @@
 #include <random>
 
 /// \file
-/// \brief When an entry VM that follows an older configuration asks for the newer one, and whom.
+/// \brief When an entry VM with an older configuration requests the newer one, and from which
+/// source.
 
 namespace plumdale::coordination
 {
 
-/// \brief Whom to ask for a configuration now.
+/// \brief Source to request a configuration from.
 enum class configuration_source : std::uint8_t
 {
     none,
@@ -19,30 +20,33 @@
     store
 };
 
-/// \brief Waits for the configuration to be passed on, then asks peers, and the store last.
+/// \brief Waits for the configuration to arrive by broadcast, then requests it from peers, and
+/// last from the store.
 ///
 /// Example:
 /// \code
-/// catch_up.note_peer_version(news.configuration, own_version, fleet.interval(), now);
-/// if (catch_up.due(own_version, now) == configuration_source::peer) { ask one that has it }
+/// catch_up.note_peer_version(update.configuration, own_version, fleet.reader_interval(), now);
+/// if (catch_up.next_source(own_version, now) == configuration_source::peer) { ask a peer }
 /// \endcode
 class configuration_catch_up
 {
 public:
     explicit configuration_catch_up(std::minstd_rand& random) noexcept : random_{random} {}
 
-    /// \brief A peer follows `version`; `interval` is the time between a reader's messages.
+    /// \brief Records that a peer follows `version`; `interval` is the time between two messages of
+    /// a reader.
     void note_peer_version(std::uint64_t version, std::uint64_t own_version,
                            state::duration interval, state::time_point now);
-    /// \brief Returns whom to ask now; the answer counts as asked until `failed()`.
+    /// \brief Returns the source to ask now, if any; the request is outstanding until `failed()` or
+    /// `answer_timeout`.
     [[nodiscard]] configuration_source next_source(std::uint64_t own_version,
                                                    state::time_point now);
-    /// \brief Who was asked did not give it.
+    /// \brief Records that the source did not deliver the configuration.
     void failed(state::time_point now);
 
-    /// \brief Peers that are asked before the store.
+    /// \brief Requests to peers before the store is asked.
     static constexpr std::uint32_t max_peer_attempts = 2;
-    /// \brief A question that isn't answered is taken as failed after this.
+    /// \brief A request without an answer counts as failed after this time.
     static constexpr state::duration answer_timeout = std::chrono::seconds{1};
     static constexpr state::duration retry_delay = std::chrono::milliseconds{100};
 
--- a/include/plumdale/coordination/configuration_offer.hpp
+++ b/include/plumdale/coordination/configuration_offer.hpp
@@ -12,10 +12,10 @@
 namespace plumdale::coordination
 {
 
-/// \brief A configuration as what differs from another one.
+/// \brief A configuration as a patch of another one, or as its whole text.
 struct configuration_offer
 {
-    /// \brief Most bytes of a patch in a datagram, so that it is never fragmented.
+    /// \brief Maximum size of a patch in a datagram, in bytes, so that it is never fragmented.
     static constexpr std::size_t max_datagram_patch = 1'150;
 
     std::uint64_t version = 0;
@@ -23,10 +23,10 @@
     std::uint64_t base = 0;
     /// \brief Digest of the whole text.
     std::uint64_t digest = 0;
-    /// \brief Those that the receiver passes it on to; none where the range is empty.
+    /// \brief Entry VMs that the receiver forwards it to; none unless `has_range`.
     broadcast_range range;
     bool has_range = false;
-    /// \brief Empty when it is too large for a datagram: it is asked for then.
+    /// \brief Empty if it is too large for a datagram; the receiver then requests it.
     std::string patch;
 };
 
--- a/include/plumdale/coordination/configuration_reader.hpp
+++ b/include/plumdale/coordination/configuration_reader.hpp
@@ -12,18 +12,18 @@
 namespace plumdale::coordination
 {
 
-/// \brief Keeps at most one read outstanding: a waiting one while this node is a reader of its
-/// zone, else a short one now and then.
+/// \brief Keeps at most one read outstanding: a long poll while this node is a reader of its
+/// zone, otherwise a short read at intervals.
 class configuration_reader
 {
 public:
     configuration_reader(node_settings const& settings, std::uint64_t seed);
 
-    /// \brief Asks for a read when one is due.
+    /// \brief Appends a read when one is due.
     void advance(bool is_reader, state::time_point now, control_actions& actions);
     void finish(std::uint64_t revision, state::time_point now);
     void fail(state::time_point now);
-    /// \brief The answer of a read from before a pause is not waited for.
+    /// \brief Drops a read that was outstanding before a pause, and makes the next one due.
     void resume_after_pause(state::time_point now);
 
     [[nodiscard]] state::time_point next_deadline() const noexcept
@@ -32,7 +32,7 @@
     }
     /// \brief Returns whether several reads in a row failed.
     [[nodiscard]] bool is_service_down() const noexcept;
-    /// \brief Returns whether the last read that ended was good.
+    /// \brief Returns whether the last completed read succeeded.
     [[nodiscard]] bool reachable() const noexcept
     {
         return failures_ == 0;
--- a/include/plumdale/coordination/content_exchange.hpp
+++ b/include/plumdale/coordination/content_exchange.hpp
@@ -15,8 +15,8 @@
 namespace plumdale::coordination
 {
 
-/// \brief Names what is held to peers and fetches what they hold that is newer, from a peer of the
-/// own zone where there is one.
+/// \brief Announces the values held here to peers and fetches their newer ones, from a peer of the
+/// own zone if one has them.
 class content_exchange
 {
 public:
@@ -25,8 +25,8 @@
     {
     }
 
-    /// \brief Notes what the sender holds. `fetches_for_zone` says whether this node is the one of
-    /// its zone that fetches a key from another zone.
+    /// \brief Records which values the sender holds. `fetches_for_zone` returns whether this node
+    /// is the one of its zone that fetches a key from another zone.
     template <class Responsible>
     void receive(peer_message const& message, Responsible&& fetches_for_zone, state::time_point now)
     {
@@ -35,15 +35,15 @@
             note(ref, message.sender, fetches_for_zone(ref.key), now);
         }
     }
-    /// \brief A new version is held: it is announced, and nothing older is fetched any more.
+    /// \brief Announces a new version that is held, and cancels the fetch of it or an older one.
     void held(state::content_ref const& ref, std::size_t fleet_size);
     void unavailable(content_unavailable const& event, state::time_point now);
-    /// \brief Answers a peer that asks for a value.
+    /// \brief Answers a peer's request for a value.
     void serve(content_requested const& event, control_actions& actions) const;
-    /// \brief Fetches what is due.
+    /// \brief Requests the values whose fetch is due.
     void advance(state::time_point now, control_actions& actions);
-    /// \brief Adds names to a message: news first, and others when `differs` says that the
-    /// receiver holds something else.
+    /// \brief Adds references to a message: those of new versions first, and others if `differs`
+    /// says that the receiver holds other versions.
     void piggyback(peer_message& message, bool differs);
 
     [[nodiscard]] state::time_point next_deadline() const noexcept;
--- a/include/plumdale/coordination/content_store.hpp
+++ b/include/plumdale/coordination/content_store.hpp
@@ -32,7 +32,7 @@
     content_value value;
 };
 
-/// \brief Returns the name of a value: key, revision and a hash of `text` (of nothing when null).
+/// \brief Returns the reference of a value: key, revision and a hash of `text` (zero if null).
 [[nodiscard]] state::content_ref make_ref(std::string_view key, std::uint64_t revision,
                                           std::string const* text);
 
@@ -40,10 +40,10 @@
 class content_store
 {
 public:
-    /// \brief Most values; further keys are dropped.
+    /// \brief Maximum number of values; further keys are dropped.
     static constexpr std::size_t capacity = 512;
 
-    /// \brief Takes the item when it is newer than what is held; returns whether it was.
+    /// \brief Stores the item if it is newer than the version held; returns whether it was stored.
     bool put(content_item item);
 
     [[nodiscard]] content_item const* find(state::content_key key) const noexcept;
@@ -54,7 +54,7 @@
     find_operator(state::sha256_digest const& key) const noexcept;
     /// \brief Returns the presets held, sorted by name.
     [[nodiscard]] std::vector<state::preset> presets() const;
-    /// \brief Returns up to `count` names from the one at `index` on, round the end.
+    /// \brief Returns up to `count` references, starting at `index` and wrapping round at the end.
     [[nodiscard]] std::vector<state::content_ref> refs(std::size_t index, std::size_t count) const;
     [[nodiscard]] std::uint64_t digest() const noexcept
     {
--- a/include/plumdale/coordination/control_actions.hpp
+++ b/include/plumdale/coordination/control_actions.hpp
@@ -15,13 +15,13 @@
 #include <vector>
 
 /// \file
-/// \brief What the control plane asks of the transport.
+/// \brief Actions that the control plane requests from the transport.
 
 namespace plumdale::coordination
 {
 
-/// \brief Read what changed in the configuration after a revision; end with `configuration_read`
-/// or `platform_failed`. Never sent while one is outstanding.
+/// \brief Read the changes of the configuration after a revision; ends with `configuration_read`
+/// or `configuration_read_failed`. At most one is outstanding.
 struct read_configuration
 {
     std::uint64_t after = 0;
@@ -48,14 +48,14 @@
     peer_message message;
 };
 
-/// \brief Answer the operator that waits.
+/// \brief Answer a waiting operator.
 struct answer_operator
 {
     state::exchange_handle exchange;
     switch_answer answer;
 };
 
-/// \brief Fetch a configuration value from a peer over a stream; the decoded value comes back as
+/// \brief Fetch a configuration value from a peer over a stream; the decoded value arrives as
 /// `preset_published` and so on, a failure as `content_unavailable`.
 struct request_content
 {
@@ -81,7 +81,7 @@
     state::endpoint address;
 };
 
-/// \brief Give an engine an order; the state it then follows comes back as `order_read`.
+/// \brief Send an engine an order; the order that it then follows arrives as `order_read`.
 struct send_order
 {
     state::upstream_id upstream;
@@ -89,8 +89,8 @@
     state::engine_order order;
 };
 
-/// \brief Peers know a later uptime at this address. This process takes no new work; a daemon with
-/// nothing in flight starts again with an incarnation greater than `newest`.
+/// \brief Peers know a later incarnation at this address. This process takes no new work; a daemon
+/// without requests in flight restarts with an incarnation greater than `newest`.
 struct incarnation_replaced
 {
     state::incarnation newest;
@@ -99,7 +99,7 @@
 /// \brief The drain is over: the process may end.
 struct drain_finished
 {
-    /// \brief Requests still in flight: not zero only when the drain's bound ran out.
+    /// \brief Requests still in flight; zero unless the drain timed out.
     std::uint32_t in_flight = 0;
 };
 
--- a/include/plumdale/coordination/control_events.hpp
+++ b/include/plumdale/coordination/control_events.hpp
@@ -19,7 +19,7 @@
 #include <vector>
 
 /// \file
-/// \brief What the transport tells the control plane.
+/// \brief Events that the transport reports to the control plane.
 
 namespace plumdale::coordination
 {
@@ -36,7 +36,7 @@
 {
     std::uint64_t revision = 0;
     state::preset content;
-    /// \brief The value's text as published: what its hash is made of and what peers are sent.
+    /// \brief The value's text as published, which is hashed and sent to peers.
     std::shared_ptr<std::string const> text;
 };
 
@@ -56,14 +56,14 @@
     std::shared_ptr<std::string const> text;
 };
 
-/// \brief A configuration read ended well; what it brought was told before.
+/// \brief A configuration read succeeded; its changes were reported before this event.
 struct configuration_read
 {
-    /// \brief The service's newest revision; an older one than before means that it is stale.
+    /// \brief The service's newest revision; one older than before means that the service is stale.
     std::uint64_t revision = 0;
 };
 
-/// \brief The platform's list of VMs, lagging.
+/// \brief The platform's list of VMs, which may lag.
 struct vm_list_read
 {
     std::vector<state::upstream> upstreams;
@@ -95,8 +95,8 @@
     state::exchange_handle exchange;
     state::sha256_digest key{};
     state::preset_id preset;
-    /// \brief Published revision that the switch overrides though it may be unseen here; zero for
-    /// the one known here.
+    /// \brief Published revision that the switch overrides, even if this VM has not seen it; zero
+    /// for the one known here.
     std::uint64_t over_revision = 0;
 };
 
@@ -114,14 +114,14 @@
     state::content_ref content;
 };
 
-/// \brief An upstream itself said that it is leaving.
+/// \brief An upstream announced that it is leaving.
 struct upstream_leaving
 {
     state::upstream_id upstream;
     state::incarnation incarnation_number;
 };
 
-/// \brief An engine said which order it follows, after `read_order` or `send_order`.
+/// \brief An engine reported which order it follows, after `read_order` or `send_order`.
 struct order_read
 {
     state::upstream_id upstream;
--- a/include/plumdale/coordination/control_plane.hpp
+++ b/include/plumdale/coordination/control_plane.hpp
@@ -16,7 +16,7 @@
 namespace plumdale::coordination
 {
 
-/// \brief Decides on control events and publishes the snapshot that the shards read.
+/// \brief Handles control events and publishes the snapshot that the shards read.
 ///
 /// Called from one thread at a time.
 class control_plane
@@ -28,7 +28,7 @@
     control_plane& operator=(control_plane const&) = delete;
     ~control_plane();
 
-    /// \brief Decides on one event and appends the actions that follow.
+    /// \brief Handles one event and appends the resulting actions.
     void handle(control_event const& event, state::time_point now, control_actions& actions);
     /// \brief Returns when `deadline_reached` is due.
     [[nodiscard]] state::time_point next_deadline() const;
--- a/include/plumdale/coordination/copy_schedule.hpp
+++ b/include/plumdale/coordination/copy_schedule.hpp
@@ -20,14 +20,14 @@
     std::optional<state::time_point> leaves_at;
 };
 
-/// \brief Returns when the upstream is gone, as far as it is known.
+/// \brief Returns when the upstream will be gone; the earliest possible time if it is not known.
 [[nodiscard]] state::time_point departure_time(departure const& leaving) noexcept;
 
 /// \brief Returns how long one copy of `tokens` takes on an idle link.
 [[nodiscard]] state::duration copy_duration(state::engine_limits const& engine,
                                             std::uint64_t tokens, bool to_other_zone) noexcept;
 
-/// \brief When further copies of a generation are ordered, once the first is there.
+/// \brief When further copies of a generation are ordered, once the first is complete.
 struct copy_schedule
 {
     /// \brief A copy that brings the first one up to date while the generation runs on.
@@ -38,35 +38,34 @@
 
 /// \brief Returns when copies follow the first one.
 ///
-/// Where the moment of departure is known, the generation runs on until its upstream is gone and
-/// goes on from its refreshed copy: nothing stands still but for what was generated since, some 15
-/// tokens, which are read again. A last copy is ordered only of an upstream that is still there
-/// when it should be gone.
+/// If the departure time is known, the generation runs until its upstream is gone and continues
+/// from its refreshed copy: the only delay is that the tokens generated since, some 15, are read
+/// again. A last copy is ordered only if the upstream is still present after that time.
 ///
-/// Where it isn't known, or is farther off than copies can be kept, the last copy waits until the
-/// first copies of all entry VMs are through, as worked out from what the fleet has there, but no
-/// longer than leaves it time: it stops its generation, and a link carries copies one after
-/// another. `fleet_tokens` and `fleet_calls`: what all entry VMs have there.
+/// If it is unknown, or later than copies can be kept, the last copy is delayed until the first
+/// copies of all entry VMs are estimated to be complete, but not so long that it misses the
+/// departure: a last copy stops its generation, and a link carries copies one after another.
+/// `fleet_tokens` and `fleet_calls` are the totals of all entry VMs on this upstream.
 [[nodiscard]] copy_schedule schedule_copies(departure const& leaving,
                                             state::engine_limits const& engine,
                                             std::uint64_t fleet_tokens,
                                             std::uint32_t fleet_calls) noexcept;
 
-/// \brief Shortest notice that is counted on.
+/// \brief Shortest notice that an upstream is assumed to give.
 inline constexpr state::duration min_notice = std::chrono::milliseconds{1'500};
-/// \brief How late a notice may be heard: pacing of the watch, the answer, a datagram.
+/// \brief Longest delay until a notice is received: pacing of the watch, its answer, a datagram.
 inline constexpr state::duration max_notice_delay = std::chrono::milliseconds{180};
-/// \brief Kept free before the departure: for ordering last copies, a refusal, and a second try.
+/// \brief Reserved before the departure for ordering last copies, a refusal and a retry.
 inline constexpr state::duration departure_margin = std::chrono::milliseconds{280};
-/// \brief Time for which one last copy holds an idle link.
+/// \brief Time for which one last copy occupies an idle link.
 inline constexpr state::duration last_copy_duration = std::chrono::milliseconds{10};
-/// \brief How long before the departure copies are refreshed: the moment is known to 60 ms, and
-/// refreshing ten generations takes the link for 100 ms.
+/// \brief How long before the departure copies are refreshed: the departure time is accurate to
+/// 60 ms, and refreshing ten generations occupies the link for 100 ms.
 inline constexpr state::duration refresh_lead = std::chrono::milliseconds{200};
-/// \brief An upstream that is still there this long after it should be gone is not believed to
+/// \brief An upstream that is still present this long after its departure time is not expected to
 /// leave by itself soon.
 inline constexpr state::duration overdue_after = std::chrono::milliseconds{400};
-/// \brief Time from the notice until the upstream's report has told when it leaves.
+/// \brief Time from the notice until the upstream's report with its departure time has arrived.
 inline constexpr state::duration departure_report_delay = std::chrono::milliseconds{700};
 
 } // namespace plumdale::coordination
--- a/include/plumdale/coordination/evacuation_orders.hpp
+++ b/include/plumdale/coordination/evacuation_orders.hpp
@@ -10,15 +10,15 @@
 #include <vector>
 
 /// \file
-/// \brief Which availability zones' upstreams are to get nothing, as far as this entry VM knows.
+/// \brief Availability zones that are under evacuation, as far as this entry VM knows.
 
 namespace plumdale::coordination
 {
 
-/// \brief Joins what is heard of evacuations, from the store and from peers, in any order.
+/// \brief Merges evacuation orders of the store and of peers, received in any order.
 ///
-/// What is exchanged is always the whole set as of a revision, and the newest set holds: an order
-/// that was taken back can't return by a message from before. Example:
+/// Each message holds the whole set as of a revision, and the newest set replaces older ones: a
+/// delayed message can't restore a revoked order. Example:
 /// \code
 /// evacuation_orders orders;
 /// orders.take({revision, {{zone, revision}}}, now);
@@ -27,18 +27,18 @@
 class evacuation_orders
 {
 public:
-    /// \brief Takes the whole set as of a revision; returns what it changed, nothing if an equally
-    /// new one is known.
+    /// \brief Applies the whole set as of a revision; returns the changes, none if the known set is
+    /// as new.
     std::vector<state::evacuation_change> take(state::evacuations const& received,
                                                state::time_point now);
-    /// \brief Takes the changes up to revision `as_of`, which follow on a revision that is known;
-    /// returns what they changed.
+    /// \brief Applies the changes up to revision `as_of`, which follow a known revision; returns
+    /// those that took effect.
     std::vector<state::evacuation_change>
     apply_changes(std::span<state::evacuation_change const> changes, std::uint64_t as_of,
                   state::time_point now);
 
     [[nodiscard]] bool covers(state::zone_id zone) const noexcept;
-    /// \brief Returns when a zone's last order was taken back, as learnt here; the epoch if none
+    /// \brief Returns when this VM learnt that a zone's last order was revoked; the epoch if none
     /// was.
     [[nodiscard]] state::time_point ended_at(state::zone_id zone) const;
     [[nodiscard]] state::evacuations const& known() const noexcept
@@ -46,7 +46,7 @@
         return known_;
     }
 
-    /// \brief Most orders that are kept, above the zones of any fleet; those given first are.
+    /// \brief Maximum number of orders, above the zones of any fleet; the oldest ones are kept.
     static constexpr std::size_t capacity = 32;
 
 private:
@@ -55,7 +55,7 @@
                                                   state::time_point now);
 
     state::evacuations known_;
-    /// \brief Zones whose orders the store lacked when it came back from a copy.
+    /// \brief Zones whose orders the store lacked after it was restored from a copy.
     std::vector<state::zone_id> retained_zones_;
     std::unordered_map<state::zone_id, state::time_point> ended_at_;
 };
--- a/include/plumdale/coordination/evidence_exchange.hpp
+++ b/include/plumdale/coordination/evidence_exchange.hpp
@@ -6,55 +6,54 @@
 #include <cstdint>
 
 /// \file
-/// \brief How entry VMs that missed evidence of ended upstreams come by it.
+/// \brief How entry VMs obtain evidence of ended upstreams that they missed.
 
 namespace plumdale::coordination
 {
 
-/// \brief What to send to the peer whose message was heard.
+/// \brief What to send to the peer whose message was received.
 struct evidence_answer
 {
-    /// \brief What is known here.
+    /// \brief Send the evidence known here.
     bool should_send = false;
-    /// \brief A question for what is known there.
+    /// \brief Request the evidence known there.
     bool should_request = false;
 };
 
-/// \brief Decides by the digests in peers' messages who tells whom.
+/// \brief Decides by the digests in peers' messages whether to send or request evidence.
 ///
 /// Example:
 /// \code
 /// evidence_exchange exchange;
-/// auto const answer = exchange.heard({own, theirs, was_asked, peers, draw}, now);
+/// auto const answer = exchange.received({own, theirs, is_request, peers, random_value}, now);
 /// \endcode
 class evidence_exchange
 {
 public:
-    /// \brief A peer's message beside what is known here.
+    /// \brief A peer's message compared with the state of this VM.
     struct observation
     {
         std::uint64_t own_digest = 0;
         std::uint64_t peer_digest = 0;
         bool is_request = false;
         std::size_t peers = 0;
-        /// \brief A random number.
         std::uint64_t random_value = 0;
     };
 
     [[nodiscard]] evidence_answer received(observation const& seen, state::time_point now);
 
-    /// \brief News of a change reach all within this; above it a difference is a loss.
+    /// \brief A change reaches all VMs within this time; a longer difference means a lost message.
     static constexpr state::duration propagation_time = std::chrono::milliseconds{300};
-    /// \brief Between two questions.
+    /// \brief Minimum time between two requests.
     static constexpr state::duration min_request_interval = std::chrono::milliseconds{200};
-    /// \brief Between two answers that nobody asked for, and how many VMs give one on average to
-    /// one that shows by its own messages that it lacks something.
+    /// \brief Minimum time between two unsolicited answers, and how many VMs on average send one to
+    /// a peer whose messages show that it lacks evidence.
     static constexpr state::duration min_unsolicited_interval = std::chrono::milliseconds{50};
     static constexpr std::size_t unsolicited_senders = 3;
 
 private:
     std::uint64_t own_digest_ = 0;
-    /// \brief When a peer last knew the same, or what is known here last changed.
+    /// \brief When a peer's digest last matched, or this VM's digest last changed.
     state::time_point agreed_at_{};
     state::time_point sent_at_{};
     state::time_point requested_at_{};
--- a/include/plumdale/coordination/fleet_snapshot.hpp
+++ b/include/plumdale/coordination/fleet_snapshot.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 /// \file
-/// \brief What request threads know of the fleet, as one immutable value.
+/// \brief State of the fleet for request threads, as one immutable value.
 
 namespace plumdale::coordination
 {
@@ -25,7 +25,7 @@
     state::upstream info;
     /// \brief Shared by all snapshots that hold this upstream in this uptime.
     std::shared_ptr<upstream_gauge> gauge;
-    /// \brief False when it is leaving or believed dead: it gets no new work.
+    /// \brief False when it is leaving or presumed dead: it gets no new work.
     bool accepting = true;
 };
 
@@ -52,7 +52,7 @@
     std::vector<state::operator_account> operators;
     /// \brief Entry VMs other than this one, dead ones included while they are remembered.
     std::vector<state::member> members;
-    /// \brief When this VM last learnt that peers took it for dead; the epoch when never.
+    /// \brief When this VM last learnt that peers presumed it dead; the epoch if never.
     state::time_point presumed_dead_at{};
     /// \brief Presets held here, sorted by name: what an operator can switch to.
     std::vector<state::preset> presets;
--- a/include/plumdale/coordination/fleet_update.hpp
+++ b/include/plumdale/coordination/fleet_update.hpp
@@ -13,23 +13,23 @@
 #include <vector>
 
 /// \file
-/// \brief What forwarding entry VMs tell each other besides membership.
+/// \brief Messages between forwarding entry VMs besides membership.
 
 namespace plumdale::coordination
 {
 
-/// \brief How far a reader of the platform's store has got, as its reads are counted by itself.
+/// \brief Progress of a reader of the platform's store: its own count of its reads.
 struct reader_heartbeat
 {
     state::node_id reader;
-    /// \brief Grows with each read of the reader, across its starts too; zero before the first.
+    /// \brief Grows with each read, also across restarts; zero before the first.
     std::uint64_t heartbeat = 0;
 };
 
 /// \brief One message of an entry VM to the others.
 struct fleet_update
 {
-    /// \brief Most rows of a message, so that a datagram is never fragmented.
+    /// \brief Maximum rows of a message, so that a datagram is never fragmented.
     static constexpr std::size_t max_loads = 32;
     static constexpr std::size_t max_members = 7;
     static constexpr std::size_t max_readers = 2;
@@ -44,31 +44,31 @@
     std::uint64_t configuration = 0;
     /// \brief Digest of the sender's directory of upstreams.
     std::uint64_t directory = 0;
-    /// \brief Age of what the sender last read from the platform itself, in milliseconds.
+    /// \brief Age of the sender's own last read from the platform, in milliseconds.
     std::uint32_t platform_age_ms = UINT32_MAX;
-    /// \brief The sender's own reads; those of others that it counts on are in `readers`.
+    /// \brief The sender's own heartbeat; `readers` holds those of readers that it relies on.
     std::uint64_t heartbeat = 0;
     std::vector<reader_heartbeat> readers;
-    /// \brief All orders of evacuation that the sender knows; as of zero where it doesn't tell.
+    /// \brief All evacuation orders that the sender knows; `as_of` is zero if it sends none.
     state::evacuations evacuations;
-    /// \brief The rows are all of the sender's; else only those that changed.
+    /// \brief The rows are all of the sender's; otherwise only the changed ones.
     bool whole = false;
     std::vector<member_load> loads;
-    /// \brief Upstreams that the sender just learnt something of.
+    /// \brief Upstreams whose change the sender has just learnt.
     std::vector<state::service_member> members;
-    /// \brief Digest of what the sender knows of requests that end upstreams.
+    /// \brief Digest of the sender's evidence of requests that end upstreams.
     std::uint64_t quarantine = 0;
     std::vector<request_evidence> evidence;
-    /// \brief The sender lacks evidence, and is to be told what the receiver knows.
+    /// \brief The sender lacks evidence and requests the receiver's.
     bool requests_evidence = false;
     std::vector<state::stated_limit> limits;
-    /// \brief Number of the message that the receiver passes on within `range`; zero for none.
+    /// \brief Number of the broadcast that the receiver forwards within `range`; zero for none.
     std::uint64_t spread = 0;
     broadcast_range range;
     bool has_range = false;
 };
 
-/// \brief Everything that an entry VM knows of the upstreams, for one that asks.
+/// \brief All upstreams that an entry VM knows, sent on request.
 struct directory_copy
 {
     /// \brief The platform's revision as of which the list is complete; zero when it is not.
--- a/include/plumdale/coordination/fleet_view.hpp
+++ b/include/plumdale/coordination/fleet_view.hpp
@@ -12,144 +12,144 @@
 #include <vector>
 
 /// \file
-/// \brief What each peer last told of itself, and what follows for this entry VM.
+/// \brief Last reported state of each peer, and what this entry VM derives from it.
 
 namespace plumdale::coordination
 {
 
-/// \brief A peer as it last told of itself.
+/// \brief Last reported state of a peer.
 struct peer_state
 {
     state::incarnation incarnation_number;
     std::uint64_t sequence = 0;
-    /// \brief Where it serves what it knows.
+    /// \brief Where it serves its configuration and directory.
     state::endpoint streams;
     std::uint64_t configuration = 0;
     std::uint64_t directory = 0;
     /// \brief When it last read the platform itself, by this VM's clock.
     state::time_point last_platform_read{};
     state::time_point last_contact{};
-    /// \brief Since when its directory is one that this VM never had; `never` while it is not.
+    /// \brief Since when its directory is one that this VM never had; `never` otherwise.
     state::time_point differs_since = state::never;
 };
 
-/// \brief What is known of a peer as a reader of the store, by its own word or by others'.
+/// \brief State of a peer as a reader of the store, reported by itself or by others.
 struct reader_state
 {
     std::uint64_t heartbeat = 0;
     /// \brief When it last read, by this VM's clock.
     state::time_point read_at{};
-    /// \brief Its last word was that it can't read.
+    /// \brief Its last report says that it can't read.
     bool failed = false;
-    /// \brief Its last word was that it reads.
+    /// \brief Its last report says that it reads.
     bool reported_reading = false;
 };
 
-/// \brief Decides who reads the platform's store and whom to ask for what is missing.
+/// \brief Decides which VMs read the platform's store, and which peer to ask for missing state.
 ///
-/// All entry VMs would see the same changes, so a few read and tell the others. The readers are
-/// those of the lowest ranks that can read. Each message carries how far the readers got that its
-/// sender counts on, so one lost datagram of a reader changes nothing; a reader that is silent to
-/// all is replaced in the order of ranks, so each side of a partition has its own. Example:
+/// All entry VMs would read the same changes, so a few read and inform the others. The readers are
+/// the VMs of the lowest ranks that can read. Each message carries the heartbeats of the readers
+/// that its sender relies on, so one lost datagram of a reader changes nothing. A reader that is
+/// silent to all is replaced in the order of ranks, so each side of a partition has its own.
+/// Example:
 /// \code
 /// fleet_view fleet{self};
-/// fleet.hear(news, streams, own_digest, now);
+/// fleet.apply_update(update, streams, own_digest, now);
 /// if (fleet.update_reader_role(now)) { watch the store }
 /// \endcode
 class fleet_view
 {
 public:
-    /// \brief `eligible_from`: this VM doesn't become a reader before; one that has just started
-    /// has not heard yet who reads.
+    /// \brief `eligible_from`: this VM doesn't become a reader before; a VM that has just started
+    /// doesn't know yet which VMs read.
     explicit fleet_view(state::node_id self, state::time_point eligible_from = {}) noexcept
         : self_{self}, eligible_from_{eligible_from}
     {
     }
 
-    /// \brief Takes a message; returns whether it is newer than what is known of its sender.
+    /// \brief Applies a message; returns whether it is newer than the last one of its sender.
     bool apply_update(fleet_update const& update, state::endpoint streams, std::uint64_t own_digest,
                       state::time_point now);
-    /// \brief Own directory changed: peers that had the former one were only behind.
+    /// \brief Records a change of the own directory: a peer with a former digest is only behind.
     void directory_changed(std::uint64_t own_digest, state::time_point now);
     void forget_silent(state::time_point now);
 
     // -- readers ------------------------------------------------------------------------
-    /// \brief Decides anew whether this entry VM is to read the store itself, and returns it.
+    /// \brief Updates and returns whether this entry VM reads the store itself.
     bool update_reader_role(state::time_point now);
-    /// \brief Returns what was decided last.
+    /// \brief Returns the last result of `update_reader_role`.
     [[nodiscard]] bool is_reader() const noexcept
     {
         return is_reader_;
     }
-    /// \brief Returns the readers that this VM counts on, itself not included.
+    /// \brief Returns the readers that this VM relies on, excluding itself.
     [[nodiscard]] std::vector<reader_heartbeat> reader_heartbeats(state::time_point now) const;
-    /// \brief Returns the number of peers whose last word was that they can't read the store.
+    /// \brief Returns the number of peers whose last report says that they can't read the store.
     [[nodiscard]] std::size_t peers_without_store(state::time_point now) const;
 
-    // -- whom to ask ------------------------------------------------------------------------
-    /// \brief Returns one of the peers that follow a version newer than `version`, by a draw; none
-    /// if none does. A draw, since all that lack it would ask the first that had it.
+    // -- peers to ask -----------------------------------------------------------------------
+    /// \brief Returns a random peer that follows a version newer than `version`; none if none does.
+    /// Without the random choice all VMs that lack it would ask the first peer that had it.
     [[nodiscard]] std::optional<state::endpoint>
     peer_with_newer_configuration(std::uint64_t version, std::uint64_t random_value,
                                   state::time_point now) const;
-    /// \brief Returns whom to ask for its directory: where a reader has differed for longer than
-    /// news are under way, one of all peers that agree with it, by a draw; none if all agree.
+    /// \brief Returns a random peer to request the directory from: one that agrees with a reader
+    /// whose directory has differed for `propagation_time`; none if there is none.
     [[nodiscard]] std::optional<state::endpoint>
     peer_with_newer_directory(std::uint64_t random_value, state::time_point now) const;
-    /// \brief Returns one of the peers that follow a configuration and have a directory, by a draw.
+    /// \brief Returns a random peer that follows a configuration and has a directory.
     [[nodiscard]] std::optional<state::endpoint> bootstrap_peer(std::uint64_t random_value,
                                                                 state::time_point now) const;
 
     // -- the fleet ------------------------------------------------------------------------
-    /// \brief Returns the number of entry VMs heard lately, this one included.
+    /// \brief Returns the number of live entry VMs, including this one.
     [[nodiscard]] std::size_t live_count(state::time_point now) const;
     /// \brief Returns the time between two periodic messages of a reader in a fleet of this size.
     [[nodiscard]] state::duration reader_interval() const noexcept;
-    /// \brief ... and of the others, who are only counted by theirs.
+    /// \brief Returns the same for other VMs, whose messages only show that they are live.
     [[nodiscard]] state::duration follower_interval() const noexcept;
-    /// \brief Returns how long a peer may be silent before it isn't counted on any more: two and a
-    /// half calm intervals, of which one message may be lost.
+    /// \brief Returns how long a peer may be silent before it no longer counts as live: two and a
+    /// half follower intervals, so that one message may be lost.
     [[nodiscard]] state::duration silence_timeout() const noexcept;
-    /// \brief Returns when a peer was last heard that was not known; the epoch if none was.
+    /// \brief Returns when a new peer last sent its first message; the epoch if none did.
     [[nodiscard]] state::time_point last_joined() const noexcept
     {
         return last_joined_;
     }
-    /// \brief Returns the most entry VMs that were live at once.
+    /// \brief Returns the largest number of entry VMs that were live at once.
     [[nodiscard]] std::size_t peak_live() const noexcept
     {
         return peak_live_;
     }
-    /// \brief Returns the newest moment at which this VM or a live peer read the store.
+    /// \brief Returns the latest time at which a live peer read the store.
     [[nodiscard]] state::time_point last_platform_read(state::time_point now) const;
     [[nodiscard]] std::unordered_map<state::node_id, peer_state> const& peers() const noexcept
     {
         return peers_;
     }
 
-    /// \brief Two readers: one may fall silent without a gap in what the fleet hears.
+    /// \brief With two readers, one may fall silent without a gap in the fleet's updates.
     static constexpr std::size_t readers = 2;
-    /// \brief Time between two periodic messages of an entry VM: 10 ms for each one that hears it,
+    /// \brief Time between two periodic messages of a reader: 10 ms for each VM that receives them,
     /// within these bounds.
     static constexpr state::duration reader_interval_per_peer = std::chrono::milliseconds{10};
     static constexpr state::duration min_interval = std::chrono::milliseconds{350};
     static constexpr state::duration max_interval = std::chrono::seconds{1};
-    /// \brief Time between two periodic messages for each one that hears them: some 100 bytes in
-    /// 20 ms are 5 KB/s, in a fleet of any size.
+    /// \brief Time between two periodic messages of other VMs, for each VM that receives them: some
+    /// 100 bytes in 20 ms are 5 KB/s, in a fleet of any size.
     static constexpr state::duration follower_interval_per_peer = std::chrono::milliseconds{20};
-    /// \brief A reader whose last read is older than this and one interval is not counted on: a
-    /// calm watch answers after 0.6 s. Configurations have to be in force after 2 s in small
-    /// fleets, and a reader may fall silent just before one comes.
+    /// \brief A reader whose last read is older than this plus one interval is not relied on: a
+    /// watch without changes answers after 0.6 s. Configurations must be in force after 2 s in
+    /// small fleets, and a reader may fall silent just before one is published.
     static constexpr state::duration max_read_age = std::chrono::milliseconds{950};
-    /// \brief Time that each next in rank waits for those before it to read, within these bounds:
-    /// by then it has heard of their first read.
+    /// \brief Time that each VM waits for the one of next lower rank to start reading, within these
+    /// bounds: by then a report of its first read has arrived.
     static constexpr state::duration succession_delay_per_vm = std::chrono::microseconds{400};
     static constexpr state::duration min_succession_delay = std::chrono::milliseconds{40};
     static constexpr state::duration max_succession_delay = std::chrono::milliseconds{120};
-    /// \brief How much longer each pair of volunteers waits once two pairs before it were turned
-    /// away.
+    /// \brief Additional wait of each pair of candidates once two pairs before it failed to read.
     static constexpr state::duration failed_pair_delay = std::chrono::milliseconds{100};
-    /// \brief News of a change reach all within this; above it a difference is a loss.
+    /// \brief A change reaches all VMs within this time; a longer difference means a lost message.
     static constexpr state::duration propagation_time = std::chrono::milliseconds{600};
 
 private:
@@ -174,9 +174,9 @@
     std::unordered_map<state::node_id, peer_state> peers_;
     std::unordered_map<state::node_id, reader_state> readers_;
     recent_digests own_digests_;
-    /// \brief Since when too few of lower rank read; `never` while enough do.
+    /// \brief Since when too few VMs of lower rank read; `never` while enough do.
     state::time_point too_few_readers_since_ = state::never;
-    /// \brief Peers of lower rank that were turned away when that was last counted.
+    /// \brief Peers of lower rank that failed to read, as last counted.
     std::size_t lower_ranked_failures_ = 0;
     bool is_reader_ = false;
     std::size_t peak_live_ = 1;
--- a/include/plumdale/coordination/recent_digests.hpp
+++ b/include/plumdale/coordination/recent_digests.hpp
@@ -6,13 +6,13 @@
 #include <cstdint>
 
 /// \file
-/// \brief The last digests that this entry VM's directory had.
+/// \brief Recent digests of this entry VM's directory.
 
 namespace plumdale::coordination
 {
 
-/// \brief Remembers the latest digests, so that a peer that is behind is told from one that knows
-/// more.
+/// \brief Remembers the latest digests, so that a peer that is behind can be distinguished from
+/// one that knows more.
 class recent_digests
 {
 public:
@@ -30,7 +30,7 @@
     }
 
 private:
-    /// \brief Some seconds of a release in which ten upstreams a second change.
+    /// \brief Covers some seconds of a release in which ten upstreams change each second.
     static constexpr std::size_t capacity = 64;
 
     std::array<std::uint64_t, capacity> digests_{};
--- a/include/plumdale/coordination/subset_selector.hpp
+++ b/include/plumdale/coordination/subset_selector.hpp
@@ -26,27 +26,28 @@
 /// \brief How many upstreams of one model an entry VM routes to.
 struct subset_limits
 {
-    /// \brief Fewest and most of the own zone, and most of all other zones.
+    /// \brief Minimum and maximum of the own zone, and maximum of all other zones together.
     std::size_t min_own_zone = 8;
     std::size_t max_own_zone = 256;
     std::size_t other_zones = 12;
-    /// \brief Entry VMs of its zone that an upstream is shared by, between these bounds.
+    /// \brief Target number of entry VMs of its zone that share an upstream, within these bounds.
     std::size_t entry_vms_per_upstream = 8;
 };
 
 /// \brief Picks the upstreams of one model that this entry VM routes to.
 ///
-/// In a large zone each entry VM keeps to its own subset by rendezvous hashing. Every upstream then
-/// has about as many entry VMs, few enough that each knows a good part of its load at first hand,
-/// and a change of the list moves few of them. Upstreams of other
-/// zones are a smaller subset, for spills. The choice is kept until the snapshot's version changes.
+/// In a large zone each entry VM uses its own subset, chosen by rendezvous hashing. Every upstream
+/// is then shared by about the same number of entry VMs, few enough that each knows a large part
+/// of its load from its own requests, and a change of the list moves few of them. A smaller subset
+/// of the other zones' upstreams takes overflow. The result is cached until the snapshot's version
+/// changes.
 class subset_selector
 {
 public:
     /// \param self This entry VM, for the hashing.
     subset_selector(state::node_id self, state::zone_id zone, subset_limits limits);
 
-    /// \brief Returns the chosen upstreams of a model; valid as long as the snapshot is.
+    /// \brief Returns the selected upstreams of a model; valid as long as the snapshot is.
     [[nodiscard]] zone_split select(fleet_snapshot const& fleet, state::model_id model);
 
 private:
--- a/include/plumdale/coordination/update_queue.hpp
+++ b/include/plumdale/coordination/update_queue.hpp
@@ -7,25 +7,25 @@
 #include <vector>
 
 /// \file
-/// \brief News that is piggybacked a bounded number of times.
+/// \brief Updates that are piggybacked a bounded number of times.
 
 namespace plumdale::coordination
 {
 
-/// \brief Keys of news to pass on. Each is told a number of times that grows with the logarithm of
-/// the fleet; what that misses is found by comparing digests.
+/// \brief Keys of updates to pass on. Each is sent a number of times that grows with the logarithm
+/// of the fleet; peers that miss it are found by comparing digests.
 template <class Key>
 class update_queue
 {
 public:
-    /// \brief Adds news, or starts anew what was being told already.
+    /// \brief Adds a key, or restarts its count if it is queued already.
     void push(Key key, std::size_t fleet_size)
     {
         std::erase_if(updates_, [&key](update const& each) { return each.key == key; });
         updates_.push_back({key, 2 * static_cast<std::uint32_t>(std::bit_width(fleet_size + 1))});
     }
 
-    /// \brief Returns up to `count` keys, those told least first, and counts them as told.
+    /// \brief Returns up to `count` keys, the least sent first, and counts them as sent.
     [[nodiscard]] std::vector<Key> take(std::size_t count)
     {
         std::stable_sort(updates_.begin(), updates_.end(),
--- a/include/plumdale/coordination/upstream_list.hpp
+++ b/include/plumdale/coordination/upstream_list.hpp
@@ -14,7 +14,7 @@
 namespace plumdale::coordination
 {
 
-/// \brief Keeps the last list that was read and says when to read it again: the longer the list,
+/// \brief Keeps the last list that was read and schedules the next read: the longer the list,
 /// the less often, so that reading it stays within its share of the control budget.
 class upstream_list
 {
--- a/src/coordination/broadcast_tree.cpp
+++ b/src/coordination/broadcast_tree.cpp
@@ -44,8 +44,8 @@
     {
         std::size_t const begin = placed.size() * part / parts;
         std::size_t const end = placed.size() * (part + 1) / parts;
-        // The part reaches to the next one's head, so that a VM that only the head knows of is
-        // reached too.
+        // The part extends to the receiver of the next one, so that a VM that only this receiver
+        // knows is reached too.
         std::uint64_t const last = end == placed.size() ? range.last : placed[end].place - 1;
         std::uint64_t const place = placed[begin].place;
         bool const has_subrange = place < last;
--- a/src/coordination/configuration_catch_up.cpp
+++ b/src/coordination/configuration_catch_up.cpp
@@ -49,7 +49,8 @@
     }
 }
 
-// Half of the time to all of it, so that a fleet that lacks the same doesn't ask together.
+// Draws between half of `time` and all of it, so that VMs that lack the same version don't request
+// it at once.
 state::duration configuration_catch_up::with_jitter(state::duration time)
 {
     std::uniform_int_distribution<state::duration::rep> of{time.count() / 2, time.count()};
--- a/src/coordination/configuration_reader.cpp
+++ b/src/coordination/configuration_reader.cpp
@@ -8,7 +8,7 @@
 {
 
 constexpr std::uint32_t failures_when_down = 3;
-// A read whose answer never comes is given up after this, beyond its wait.
+// A read without an answer counts as failed after this time beyond its wait.
 constexpr state::duration read_timeout = std::chrono::seconds{5};
 
 } // namespace
@@ -41,8 +41,8 @@
 
 void configuration_reader::finish(std::uint64_t revision, state::time_point now)
 {
-    bool const brought_news = revision > last_revision_;
-    bool const ran_its_time = is_long_poll_ && now - started_at_ >= settings_.watch_wait / 2;
+    bool const has_changes = revision > last_revision_;
+    bool const has_waited = is_long_poll_ && now - started_at_ >= settings_.watch_wait / 2;
     outstanding_ = false;
     failures_ = 0;
     read_once_ = true;
@@ -52,8 +52,8 @@
         next_ = now + with_jitter(settings_.idle_read_interval);
         return;
     }
-    // A service that does not wait must not be asked in a loop.
-    next_ = brought_news || ran_its_time
+    // A service that answers without waiting must not be polled in a busy loop.
+    next_ = has_changes || has_waited
                 ? now
                 : std::max(now, started_at_ + settings_.configuration_interval);
 }
@@ -76,7 +76,7 @@
     return failures_ >= failures_when_down;
 }
 
-// Half to one and a half of the time, so that readers don't ask together.
+// Draws between half of `time` and one and a half of it, so that readers don't poll together.
 state::duration configuration_reader::with_jitter(state::duration time)
 {
     std::uniform_int_distribution<state::duration::rep> of{time.count() / 2, time.count() * 3 / 2};
--- a/src/coordination/content_exchange.cpp
+++ b/src/coordination/content_exchange.cpp
@@ -7,7 +7,8 @@
 namespace
 {
 
-// How long a value that only another zone holds is left to the node that fetches it for the zone.
+// Delay before other nodes fetch a value that only another zone holds: the node that fetches it for
+// the zone goes first.
 constexpr state::duration zone_fetch_delay = std::chrono::milliseconds{300};
 constexpr state::duration retry_interval = std::chrono::seconds{1};
 
@@ -40,7 +41,7 @@
     }
     if (in_own_zone || !each.in_own_zone)
     {
-        // The latest to say so is asked next, should the first not answer.
+        // If the first peer does not answer, the one that announced it last is asked next.
         each.peer = holder.id;
         each.streams = holder.streams;
         each.in_own_zone = in_own_zone;
@@ -102,8 +103,8 @@
     {
         return;
     }
-    std::size_t const room = peer_message::max_content - message.content.size();
-    auto const refs = store_.refs(next_index_, room);
+    std::size_t const free_count = peer_message::max_content - message.content.size();
+    auto const refs = store_.refs(next_index_, free_count);
     next_index_ += refs.size();
     message.content.insert(message.content.end(), refs.begin(), refs.end());
 }
--- a/src/coordination/control_plane.cpp
+++ b/src/coordination/control_plane.cpp
@@ -13,8 +13,8 @@
 namespace plumdale::coordination
 {
 
-// The parts, and what passes between them: each datagram that a part sends is completed with the
-// news of all others, and each that arrives is shown to all.
+// Connects the components: each datagram that one of them sends carries the updates of all others,
+// and each datagram that arrives is passed to all.
 class control_plane::implementation
 {
 public:
@@ -165,7 +165,7 @@
         }
     }
 
-    // -- life ----------------------------------------------------------------------------------
+    // -- lifecycle -----------------------------------------------------------------------------
 
     void on(drain_requested const& /*event*/, control_actions& /*actions*/)
     {
@@ -187,8 +187,8 @@
 
     void on(deadline_reached const& /*event*/, control_actions& /*actions*/) {}
 
-    // A timer that is overdue by this much is a pause that nobody reported, whatever event comes
-    // first after it: what was believed before may have been overtaken.
+    // A deadline that is overdue by more than `pause_tolerance` is a pause that was not reported,
+    // whichever event comes first after it: the state from before it may be stale.
     [[nodiscard]] bool was_paused() const
     {
         return deadline_ != state::time_point{} && now_ - deadline_ > settings_.pause_tolerance &&
@@ -251,7 +251,8 @@
 
     void fill(fleet_snapshot& next)
     {
-        // A process whose address belongs to a later one must not run what that one may run too.
+        // A process whose address belongs to a later one must not run work that the later one may
+        // run too.
         bool const replaced = static_cast<bool>(members_.replaced_by());
         next.ready = agreement_.ready() && !replaced;
         next.draining = drain_.begun();
--- a/src/coordination/copy_schedule.cpp
+++ b/src/coordination/copy_schedule.cpp
@@ -7,10 +7,10 @@
 namespace
 {
 
-// A copy's fixed part: its order, answer and set-up at both ends.
+// Fixed cost of a copy: its order, answer and set-up at both ends.
 constexpr state::duration copy_overhead = std::chrono::milliseconds{4};
-// Destinations in other zones, and what runs generate meanwhile, make first copies longer than the
-// tokens known at the notice say.
+// First copies take longer than the tokens known at the notice imply: some destinations are in
+// other zones, and running generations add tokens meanwhile.
 constexpr double first_copies_factor = 2.0;
 
 } // namespace
@@ -26,9 +26,9 @@
     }
     double const bits = static_cast<double>(tokens) * engine.bytes_per_token * bits_per_byte;
     double const seconds = bits / (engine.link_megabits * bits_per_megabit);
-    double const crossing = to_other_zone ? 2.0 : 1.0;
+    double const zone_factor = to_other_zone ? 2.0 : 1.0;
     return copy_overhead + std::chrono::duration_cast<state::duration>(
-                               std::chrono::duration<double>{seconds * crossing});
+                               std::chrono::duration<double>{seconds * zone_factor});
 }
 
 state::time_point departure_time(departure const& leaving) noexcept
@@ -39,8 +39,8 @@
 copy_schedule schedule_copies(departure const& leaving, state::engine_limits const& engine,
                               std::uint64_t fleet_tokens, std::uint32_t fleet_calls) noexcept
 {
-    // A copy is dropped when it waits for longer than its lifetime, so one that would have to last
-    // for most of it is not waited with: the generation moves off now.
+    // A copy is dropped after `copy_lifetime`. If it had to wait for more than half of it, the
+    // generation is moved early instead.
     bool const is_near =
         leaving.leaves_at && *leaving.leaves_at - leaving.learnt_at <= engine.copy_lifetime / 2;
     if (is_near)
--- a/src/coordination/evacuation_orders.cpp
+++ b/src/coordination/evacuation_orders.cpp
@@ -18,7 +18,7 @@
                        [zone](evacuation const& each) { return each.zone == zone; });
 }
 
-// The same at every entry VM, whatever order the store's pages had.
+// Makes the result equal on every entry VM, whatever the order of the store's pages.
 void sort_and_truncate(std::vector<evacuation>& orders)
 {
     std::sort(orders.begin(), orders.end(),
@@ -33,22 +33,23 @@
 std::vector<evacuation_change> evacuation_orders::take(state::evacuations const& received,
                                                        state::time_point now)
 {
-    // One that was cut off, or whose message was delayed, tells of orders that have been taken back
-    // since: only the newest set counts, whole.
+    // A VM that was partitioned, or a delayed message, reports orders that have been revoked since:
+    // only the newest set counts, as a whole.
     bool const is_newer = received.as_of > known_.as_of;
     bool const is_repeated = received.as_of == known_.as_of && lacks_retained_zone(received);
     if (!is_newer && !is_repeated)
     {
         return {};
     }
-    // A store that came back from a copy may lack an order that it acknowledged, until the operator
-    // has written it again: it stays in force until a later set of the same era lacks it too.
-    bool const came_back = state::era_in(received.as_of) > state::era_in(known_.as_of);
+    // A store that was restored from a copy may lack an order that it acknowledged, until the
+    // operator has written it again. The order stays in force until a later set of the same era
+    // lacks it too.
+    bool const was_restored = state::era_in(received.as_of) > state::era_in(known_.as_of);
     std::vector<evacuation> in_force = received.in_force;
     retained_zones_.clear();
     for (evacuation const& former : known_.in_force)
     {
-        if (came_back && !contains_zone(received.in_force, former.zone))
+        if (was_restored && !contains_zone(received.in_force, former.zone))
         {
             in_force.push_back(former);
             retained_zones_.push_back(former.zone);
@@ -58,8 +59,8 @@
     return replace(std::move(in_force), now);
 }
 
-// Read once more, a store in which nothing was written since gives the same set at the same
-// revision.
+// A restored store without new writes returns the same set at the same revision when it is read
+// again; the retained orders end then.
 bool evacuation_orders::lacks_retained_zone(state::evacuations const& received) const
 {
     return std::any_of(retained_zones_.begin(), retained_zones_.end(),
@@ -78,7 +79,7 @@
     std::vector<evacuation> in_force = known_.in_force;
     for (evacuation_change const& change : changes)
     {
-        // A peer may have told of it already, and of what came after.
+        // A peer may have reported this change already, and later ones.
         if (change.order.revision <= known_.as_of)
         {
             continue;
--- a/src/coordination/evidence_exchange.cpp
+++ b/src/coordination/evidence_exchange.cpp
@@ -5,8 +5,8 @@
 namespace plumdale::coordination
 {
 
-// Of hundreds, one that sends seldom would be told seldom: so who lacks something asks as well,
-// once all that it hears differs from what it knows.
+// In a fleet of hundreds a VM sends seldom and so gets unsolicited answers seldom. A VM that lacks
+// evidence therefore also requests it, once all digests that it receives differ from its own.
 evidence_answer evidence_exchange::received(observation const& seen, state::time_point now)
 {
     bool const differs = seen.peer_digest != seen.own_digest;
--- a/src/coordination/fleet_snapshot.cpp
+++ b/src/coordination/fleet_snapshot.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Looks at every account, whichever fits: how long it takes tells nothing of the key.
+// Compares every account, also after a match, so that the time taken reveals nothing of the key.
 template <class Account>
 Account const* find_key(std::vector<Account> const& accounts, state::sha256_digest Account::*digest,
                         state::sha256_digest const& wanted) noexcept
--- a/src/coordination/fleet_view.cpp
+++ b/src/coordination/fleet_view.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-// Seed of the ranks of readers, so that they differ from other ranks derived of the same ids.
+// Makes the ranks of readers differ from other ranks derived from the same ids.
 constexpr std::uint64_t reader_rank_seed = 0x5ead;
 
 std::uint64_t rank_of(state::node_id node) noexcept
@@ -27,8 +27,8 @@
     auto const [place, is_new] = peers_.try_emplace(update.sender);
     last_joined_ = is_new ? now : last_joined_;
     peer_state& peer = place->second;
-    // Uptimes are numbered by the time of day, which may have stepped back: one that looks older
-    // is believed once the other has been silent for longer than a datagram is under way.
+    // Incarnations are numbered by the time of day, which may have stepped back: a smaller one is
+    // accepted once the other has been silent for longer than a datagram is in flight.
     bool const is_past_uptime = update.incarnation_number < peer.incarnation_number &&
                                 peer.last_contact + propagation_time >= now;
     bool const is_old = is_past_uptime || (update.incarnation_number == peer.incarnation_number &&
@@ -43,11 +43,11 @@
     peer.configuration = update.configuration;
     peer.directory = update.directory;
     peer.last_contact = now;
-    constexpr std::uint32_t not_at_all = UINT32_MAX;
-    peer.last_platform_read = update.platform_age_ms == not_at_all
+    constexpr std::uint32_t cannot_read = UINT32_MAX;
+    peer.last_platform_read = update.platform_age_ms == cannot_read
                                   ? state::time_point{}
                                   : now - std::chrono::milliseconds{update.platform_age_ms};
-    // One of this VM's former digests: the peer is behind, and the change is under way to it.
+    // A former digest of this VM: the peer is behind, and the change is in flight to it.
     bool const is_behind = own_digests_.contains(peer.directory);
     peer.differs_since = peer.directory == own_digest || is_behind
                              ? state::never
@@ -64,10 +64,10 @@
 
 void fleet_view::note_reader(fleet_update const& update, state::time_point now)
 {
-    constexpr std::uint32_t not_at_all = UINT32_MAX;
+    constexpr std::uint32_t cannot_read = UINT32_MAX;
     reader_state& reader = readers_[update.sender];
     reader.heartbeat = std::max(reader.heartbeat, update.heartbeat);
-    reader.failed = update.platform_age_ms == not_at_all;
+    reader.failed = update.platform_age_ms == cannot_read;
     if (!reader.failed)
     {
         reader.read_at =
@@ -80,8 +80,8 @@
     }
 }
 
-// Counted from when the greater beat was first heard of, and never from an age that was passed on:
-// each passing on would make a dead reader look a little younger, and the fleet would keep it
+// The age of a read counts from the first receipt of the greater heartbeat, never from a forwarded
+// age: each forwarding would make a dead reader look a little younger, and the fleet would keep it
 // alive.
 void fleet_view::note_heartbeat(reader_heartbeat const& observed, state::time_point now)
 {
@@ -113,37 +113,37 @@
     return found != readers_.end() && is_fresh(found->second, now);
 }
 
-// One that said that it can't read will not, and one that said it reads and fell silent is what is
-// to be replaced.
+// A peer that reported that it can't read won't become a reader, and one that reported reading and
+// fell silent is the reader to be replaced.
 bool fleet_view::is_candidate(state::node_id node, peer_state const& peer,
                               state::time_point now) const
 {
     auto const found = readers_.find(node);
-    bool const is_out =
+    bool const is_excluded =
         found != readers_.end() && (found->second.failed || found->second.reported_reading);
-    return is_live(peer, now) && rank_of(node) < rank_of(self_) && !is_out &&
+    return is_live(peer, now) && rank_of(node) < rank_of(self_) && !is_excluded &&
            !is_reading(node, now);
 }
 
 state::duration fleet_view::succession_delay(std::size_t active_readers,
                                              state::time_point now) const
 {
-    auto const before = static_cast<std::size_t>(std::count_if(
+    auto const lower_ranked = static_cast<std::size_t>(std::count_if(
         peers_.begin(), peers_.end(),
         [this, now](auto const& each) { return is_candidate(each.first, each.second, now); }));
     std::size_t const failed_pairs = lower_ranked_failures_ / readers;
-    state::duration const pause =
+    state::duration const retry_pause =
         failed_pairs < 2 ? state::duration{}
                          : static_cast<std::int64_t>(failed_pairs - 1) * failed_pair_delay;
     std::size_t const wanted = readers - active_readers;
-    if (before < wanted)
+    if (lower_ranked < wanted)
     {
-        return pause;
+        return retry_pause;
     }
     state::duration const each =
         std::clamp<state::duration>(static_cast<std::int64_t>(peak_live_) * succession_delay_per_vm,
                                     min_succession_delay, max_succession_delay);
-    return pause + static_cast<std::int64_t>(before - wanted + 1) * each;
+    return retry_pause + static_cast<std::int64_t>(lower_ranked - wanted + 1) * each;
 }
 
 std::size_t fleet_view::lower_ranked_failures(state::time_point now) const
@@ -157,9 +157,9 @@
                                                   }));
 }
 
-// Were all to begin at the moment a reader is late, hundreds would read configuration and list
-// within a few milliseconds of each other: the store turns them away, and what they pay for is
-// known to one of them already. Those next in rank begin, and the others hear of their first read.
+// If all VMs started when a reader is late, hundreds would read configuration and list within a few
+// milliseconds: the store would reject most of them, and the first read has what all need. So the
+// VMs next in rank start, and the others receive a report of their first read.
 bool fleet_view::update_reader_role(state::time_point now)
 {
     auto const active_readers = static_cast<std::size_t>(std::count_if(
@@ -173,8 +173,8 @@
         is_reader_ = false;
         return false;
     }
-    // Others have just been turned away: all that wait begin their wait anew, or a store that is
-    // down for all would be asked by all.
+    // Other VMs have just failed to read: each waiting VM restarts its wait, as otherwise all VMs
+    // would read a store that is down for all.
     std::size_t const failed = lower_ranked_failures(now);
     too_few_readers_since_ =
         failed > lower_ranked_failures_ ? now : std::min(too_few_readers_since_, now);
@@ -230,8 +230,8 @@
     static constexpr state::duration remembered = std::chrono::minutes{2};
     std::erase_if(peers_,
                   [now](auto const& each) { return each.second.last_contact + remembered < now; });
-    // Kept as long, also those that were never heard from: forgotten at once, the next that passes
-    // on their last beat would make them look as if they had just read.
+    // Readers are kept as long, also those that never sent a message to this VM: if one were
+    // forgotten at once, the next forwarded heartbeat would make it look as if it had just read.
     std::erase_if(readers_,
                   [now](auto const& each) { return each.second.read_at + remembered < now; });
 }
@@ -258,9 +258,9 @@
     return std::max<state::duration>(max_interval, follower_interval()) * 5 / 2;
 }
 
-// -- whom to ask ----------------------------------------------------------------------------------
+// -- peers to ask ---------------------------------------------------------------------------------
 
-// The peer of the greatest rank under this draw among those that fit.
+// Returns the peer of the greatest rank under `random_value` among those that fit.
 template <class Fits>
 std::optional<state::endpoint> fleet_view::pick_peer(std::uint64_t random_value,
                                                      Fits const& fits) const
@@ -287,15 +287,15 @@
                      { return is_live(peer, now) && peer.configuration > version; });
 }
 
-// Two messages apart: by the second, what was under way with the first has arrived.
+// Requires two messages that differ: updates in flight at the first have arrived by the second.
 bool fleet_view::differs(peer_state const& peer) const noexcept
 {
     return peer.differs_since != state::never &&
            peer.differs_since + propagation_time <= peer.last_contact;
 }
 
-// Of hundreds that lack something, each would ask one of the two readers; all peers that have the
-// same as a reader can answer as well.
+// If only readers were asked, hundreds of VMs that lack an update would all ask the same two; every
+// peer with the same directory as a reader can answer as well.
 std::optional<state::endpoint> fleet_view::peer_with_newer_directory(std::uint64_t random_value,
                                                                      state::time_point now) const
 {
--- a/src/coordination/service_directory.cpp
+++ b/src/coordination/service_directory.cpp
@@ -10,13 +10,13 @@
 namespace
 {
 
-// By the name alone: a later start of an upstream stands in the part of the former.
+// Uses the name alone, so that all starts of an upstream are in the same bucket.
 [[nodiscard]] std::size_t bucket_of(std::string_view name) noexcept
 {
     return state::key_of(name, {}).value % bucket_digests{}.size();
 }
 
-// What decides how a row changes: the listing with the greatest revision.
+// State of the listing with the greatest revision, which determines how a row changes.
 struct listing_status
 {
     bool listed = false;
@@ -25,18 +25,18 @@
 
 [[nodiscard]] directory_change change_between(listing_status before, listing_status after) noexcept
 {
-    bool const could = before.listed && before.usable;
-    bool const can = after.listed && after.usable;
+    bool const was_available = before.listed && before.usable;
+    bool const is_available = after.listed && after.usable;
     if (before.listed && !after.listed)
     {
         return directory_change::removed;
     }
-    if (!could && can)
+    if (!was_available && is_available)
     {
         return directory_change::listed;
     }
-    bool const turned = before.usable && after.listed && !after.usable;
-    return turned ? directory_change::unusable : directory_change::none;
+    bool const became_unusable = before.usable && after.listed && !after.usable;
+    return became_unusable ? directory_change::unusable : directory_change::none;
 }
 
 } // namespace
@@ -55,29 +55,29 @@
     {
         name.unusable_at = std::max(name.unusable_at, member.revision);
     }
-    // The platform's removals, and entries that can't be read, don't say of which start they are:
-    // they are of the latest that is known.
-    bool const tells_start = member.started.value != 0 || (member.listed && member.usable);
-    state::service_member news = member;
-    news.started = tells_start ? member.started : name.latest;
-    if (news.started < name.latest)
+    // The platform's removals, and entries that can't be read, don't name a start: they apply to
+    // the latest known one.
+    bool const names_start = member.started.value != 0 || (member.listed && member.usable);
+    state::service_member resolved = member;
+    resolved.started = names_start ? member.started : name.latest;
+    if (resolved.started < name.latest)
     {
-        // A peer or a list that lags. Were a former start to count, calls would go to one that is
-        // gone, and the later one, which took its place, would be taken for leaving.
+        // The peer or list lags. If a former start counted, calls would go to a process that is
+        // gone, and the later one, which replaced it, would be treated as leaving.
         return directory_change::none;
     }
-    if (name.latest < news.started)
+    if (name.latest < resolved.started)
     {
-        supersede(state::key_of(news.name, name.latest), now);
-        name.latest = news.started;
+        supersede(state::key_of(resolved.name, name.latest), now);
+        name.latest = resolved.started;
         starts_reported_ = true;
     }
-    auto const found = entries_.find(state::key_of(news));
+    auto const found = entries_.find(state::key_of(resolved));
     if (found != entries_.end())
     {
-        return update(found->second, news, now);
+        return update(found->second, resolved, now);
     }
-    return news.usable ? insert(news, name, now) : directory_change::none;
+    return resolved.usable ? insert(resolved, name, now) : directory_change::none;
 }
 
 directory_change service_directory::insert(state::service_member const& member,
@@ -133,8 +133,8 @@
 state::time_point service_directory::cold_until(directory_entry const& entry,
                                                 state::cold_limits const& limits) const
 {
-    // The platform tells of a start up to a heartbeat late, and of the end of an evacuation at
-    // once: the upstream may have become cold just before it.
+    // The platform reports a start up to a heartbeat late, and the end of an evacuation at once:
+    // the upstream may have become cold just before it.
     state::time_point until = entry.cold_until;
     if (entry.newly_listed_at)
     {
@@ -149,7 +149,7 @@
                                            state::service_member const& member,
                                            state::time_point now)
 {
-    bool const begins_to_leave = member.leaving && !entry.info.leaving;
+    bool const started_leaving = member.leaving && !entry.info.leaving;
     listing_status const before{entry.info.listed, entry.info.usable};
     bool const was_cold = now < entry.cold_until;
     toggle_digest(entry.info);
@@ -160,15 +160,15 @@
         note_cold(entry, member, now);
     }
     toggle_digest(entry.info);
-    if (begins_to_leave)
+    if (started_leaving)
     {
         entry.leaving_since = std::min(entry.leaving_since, now);
     }
     directory_change const change = change_between(before, {entry.info.listed, entry.info.usable});
     if (change == directory_change::removed)
     {
-        // An entry that ran out while the platform was away comes back if its upstream lives; to
-        // drop it at once would empty the directory after each outage.
+        // An entry that expired during an outage of the platform is listed again if its upstream is
+        // alive; dropping it at once would empty the directory after each outage.
         entry.removal_effective_at = std::max(now, lapse_until_);
     }
     if (change == directory_change::listed && is_complete_)
@@ -179,17 +179,18 @@
     {
         entry.removal_effective_at = state::never;
     }
-    if (begins_to_leave && change != directory_change::removed)
+    if (started_leaving && change != directory_change::removed)
     {
         return directory_change::leaving;
     }
-    // Only readers of the store see its entry: the others would send it what all together may.
-    bool const turned_cold = !was_cold && now < entry.cold_until;
-    return turned_cold && change == directory_change::none ? directory_change::cold : change;
+    // Only readers of the store see its entry: without this change each other VM would send it as
+    // many calls as the whole fleet may.
+    bool const became_cold = !was_cold && now < entry.cold_until;
+    return became_cold && change == directory_change::none ? directory_change::cold : change;
 }
 
-// The newest entry holds as a whole, so that one of another writer is undone by the upstream's
-// next.
+// The newest entry counts as a whole, so that the upstream's next entry undoes one of another
+// writer.
 void service_directory::adopt(directory_entry& entry, state::service_member const& member)
 {
     entry.info.revision = member.revision;
@@ -311,18 +312,18 @@
     {
         return false;
     }
-    std::size_t staying = 0;
+    std::size_t available_count = 0;
     for (member_key const key : members_of(service))
     {
         directory_entry const* const entry = find(key);
-        bool const counts = entry != nullptr && is_available(*entry, now);
-        if (counts && !is_evacuated(*entry))
+        bool const is_counted = entry != nullptr && is_available(*entry, now);
+        if (is_counted && !is_evacuated(*entry))
         {
             return false;
         }
-        staying += counts ? 1 : 0;
+        available_count += is_counted ? 1 : 0;
     }
-    return staying > 0;
+    return available_count > 0;
 }
 
 bool service_directory::is_available(directory_entry const& entry,
@@ -345,11 +346,11 @@
 
 void service_directory::toggle_digest(state::service_member const& member) noexcept
 {
-    // Rows that are removed don't count: peers forget them at different times.
+    // Removed rows are left out, as peers erase them at different times.
     if (member.listed)
     {
-        std::uint64_t const listing_status = (member.leaving ? 2U : 1U) + (member.usable ? 0U : 2U);
-        std::uint64_t const row = state::mix(state::key_of(member).value, listing_status);
+        std::uint64_t const status_bits = (member.leaving ? 2U : 1U) + (member.usable ? 0U : 2U);
+        std::uint64_t const row = state::mix(state::key_of(member).value, status_bits);
         digest_ ^= row;
         digests_by_bucket_[bucket_of(member.name)] ^= row;
     }
--- a/src/coordination/subset_selector.cpp
+++ b/src/coordination/subset_selector.cpp
@@ -13,7 +13,7 @@
 zone_split subset_selector::select(fleet_snapshot const& fleet, state::model_id model)
 {
     cached_subset& each = cached_subsets_[model];
-    // A snapshot that was built by hand has no version; then nothing is kept.
+    // A snapshot that was never published has version zero; its subsets are not cached.
     if (fleet.version == 0 || each.version != fleet.version)
     {
         each.version = fleet.version;
--- a/src/coordination/upstream_list.cpp
+++ b/src/coordination/upstream_list.cpp
@@ -70,7 +70,7 @@
     std::chrono::milliseconds const affordable{1'000 * bytes /
                                                std::max(settings_.vm_list_bytes_per_second, 1U)};
     state::duration const base = std::max<state::duration>(settings_.vm_list_interval, affordable);
-    // Spread, so that some node of the fleet reads at any time and tells the others.
+    // Jittered, so that at any time some node of the fleet reads and informs the others.
     std::uniform_int_distribution<state::duration::rep> of{base.count() * 3 / 4,
                                                            base.count() * 5 / 4};
     return state::duration{of(random_)};
--- a/tests/coordination/test_broadcast_tree.cpp
+++ b/tests/coordination/test_broadcast_tree.cpp
@@ -33,8 +33,8 @@
     int steps = 0;
 };
 
-/// \brief Spreads a message from the first VM; those in `dead` pass nothing on, and of a thousand
-/// datagrams `lost` are lost.
+/// \brief Broadcasts a message from the first VM; VMs in `dead` forward nothing, and `lost` of
+/// 1,000 datagrams are lost.
 broadcast_result broadcast(std::vector<state::node_id> const& nodes, std::uint64_t message,
                            std::vector<state::node_id> const& dead, std::uint32_t lost = 0)
 {
@@ -60,9 +60,9 @@
             }
             ++result.received[branch.receiver.value];
             result.steps = std::max(result.steps, from.step + 1);
-            bool const passes_on = branch.has_subrange && std::find(dead.begin(), dead.end(),
-                                                                    branch.receiver) == dead.end();
-            if (passes_on)
+            bool const forwards = branch.has_subrange && std::find(dead.begin(), dead.end(),
+                                                                   branch.receiver) == dead.end();
+            if (forwards)
             {
                 holders.push_back({branch.subrange, from.step + 1});
             }
@@ -74,9 +74,9 @@
 } // namespace
 
 // Load pattern: one reader has a configuration that 299 others lack, each on a link of 20 Mbit/s.
-// Were it to send to all of them, a text of 330 KB would keep its link busy for 39 s.
-TEST_CASE("each of a fleet of 300 gets a message once, from one that sends to four",
-          "[spread_tree][load]")
+// If it sent to all of them, a text of 330 KB would keep its link busy for 39 s.
+TEST_CASE("each VM of a fleet of 300 gets a message once, and none sends it to more than four",
+          "[broadcast_tree][load]")
 {
     for (std::uint64_t message = 1; message <= 20; ++message)
     {
@@ -89,7 +89,7 @@
     }
 }
 
-TEST_CASE("a fleet of any size is reached whole", "[spread_tree]")
+TEST_CASE("a fleet of any size is reached whole", "[broadcast_tree]")
 {
     for (std::size_t size = 2; size <= 20; ++size)
     {
@@ -97,9 +97,9 @@
     }
 }
 
-// A VM dies with a part of the tree below it. With the next configuration it has another place, so
-// the same VMs don't always wait for the repair.
-TEST_CASE("places change from message to message", "[spread_tree]")
+// A VM dies with a part of the tree below it. For the next message it has another place, so that it
+// isn't always the same VMs that miss messages until the repair.
+TEST_CASE("places change from message to message", "[broadcast_tree]")
 {
     std::vector<state::node_id> const nodes = fleet(fleet_size);
     auto const first = branches_of({nodes.front()}, 1, nodes, tree_fan_out);
@@ -121,16 +121,15 @@
     CHECK(most <= 6);
 }
 
-TEST_CASE("nobody is sent what the range does not hold", "[spread_tree]")
+TEST_CASE("no VM outside the range is sent a message", "[broadcast_tree]")
 {
     CHECK(branches_of({state::node_id{1}, 5, 5}, 1, fleet(9), tree_fan_out).empty());
     CHECK(branches_of({}, 1, {}, tree_fan_out).empty());
 }
 
-// One datagram in a hundred is lost, and with it all that its receiver would have passed on. An
+// One datagram in a hundred is lost, and with it all that its receiver would have forwarded. An
 // entry VM that misses a departure sends drafts to an upstream that refuses them.
-TEST_CASE("two trees reach nearly all of a fleet of 300 over links that lose",
-          "[spread_tree][load]")
+TEST_CASE("two trees reach nearly all of a fleet of 300 over lossy links", "[broadcast_tree][load]")
 {
     std::vector<state::node_id> const nodes = fleet(fleet_size);
     std::size_t missed = 0;
--- a/tests/coordination/test_configuration_catch_up.cpp
+++ b/tests/coordination/test_configuration_catch_up.cpp
@@ -15,7 +15,7 @@
 constexpr state::time_point start{10s};
 constexpr state::duration interval = 1s;
 
-/// \brief Returns when `next_source` first names a source, looked at each 10 ms.
+/// \brief Returns when `next_source` first returns a source, polled every 10 ms.
 state::time_point first_request_at(configuration_catch_up& catch_up, state::time_point from)
 {
     state::time_point now = from;
@@ -28,10 +28,11 @@
 
 } // namespace
 
-// Load pattern: 300 entry VMs hear within a few milliseconds that two readers have a newer
-// configuration. It is on its way to all of them; were each to read the store at once, as they did,
-// a storm of 12 configurations would be 3,600 reads for what one reader has.
-TEST_CASE("a configuration that is on its way is not asked for", "[configuration_catch_up][load]")
+// Load pattern: 300 entry VMs receive within a few milliseconds that two readers have a newer
+// configuration, which is being broadcast to all of them. If each VM read the store at once, 12
+// configurations in a row would cause 3,600 reads of what one reader already has.
+TEST_CASE("a configuration that is being broadcast is not requested",
+          "[configuration_catch_up][load]")
 {
     std::minstd_rand random{7};
     for (int vm = 0; vm < 300; ++vm)
@@ -43,26 +44,28 @@
     }
 }
 
-TEST_CASE("those that missed one ask at different moments", "[configuration_catch_up]")
+TEST_CASE("VMs that missed a configuration request it at different times",
+          "[configuration_catch_up]")
 {
     std::minstd_rand random{7};
-    std::vector<state::time_point> asked;
+    std::vector<state::time_point> request_times;
     for (int vm = 0; vm < 300; ++vm)
     {
         configuration_catch_up catch_up{random};
         catch_up.note_peer_version(2, 1, interval, start);
-        asked.push_back(first_request_at(catch_up, start));
+        request_times.push_back(first_request_at(catch_up, start));
     }
-    CHECK(*std::max_element(asked.begin(), asked.end()) <= start + interval + 10ms);
-    for (state::time_point const at : asked)
+    CHECK(*std::max_element(request_times.begin(), request_times.end()) <= start + interval + 10ms);
+    for (state::time_point const at : request_times)
     {
-        CHECK(std::count(asked.begin(), asked.end(), at) < 20);
+        CHECK(std::count(request_times.begin(), request_times.end(), at) < 20);
     }
 }
 
-// A caller's new key is refused with 401 as long as its VM follows the older configuration. Peers
-// that don't give the newer one are not waited for: the store has it.
-TEST_CASE("the store is asked when two peers did not give it", "[configuration_catch_up]")
+// A caller's new key is refused with 401 as long as its VM follows the older configuration. A VM
+// must not wait for peers that don't deliver the newer one, as the store has it.
+TEST_CASE("the store is asked when two peers did not deliver the configuration",
+          "[configuration_catch_up]")
 {
     std::minstd_rand random{7};
     configuration_catch_up catch_up{random};
@@ -71,8 +74,7 @@
     for (std::uint32_t peer = 0; peer < configuration_catch_up::max_peer_attempts; ++peer)
     {
         now = first_request_at(catch_up, now);
-        // `first_request_at` took the answer of `next_source`; what it named is asked until it
-        // fails.
+        // `first_request_at` has consumed the source; its request is outstanding until it fails.
         CHECK(catch_up.next_source(1, now) == configuration_source::none);
         catch_up.failed(now);
     }
@@ -80,7 +82,7 @@
     CHECK(catch_up.next_source(1, now) == configuration_source::store);
 }
 
-TEST_CASE("a question that is never answered counts as failed", "[configuration_catch_up]")
+TEST_CASE("a request that is never answered counts as failed", "[configuration_catch_up]")
 {
     std::minstd_rand random{7};
     configuration_catch_up catch_up{random};
@@ -93,7 +95,7 @@
     CHECK(catch_up.next_source(1, now) == configuration_source::store);
 }
 
-TEST_CASE("a later version does not put the question off", "[configuration_catch_up]")
+TEST_CASE("a later version does not postpone the request", "[configuration_catch_up]")
 {
     std::minstd_rand random{7};
     configuration_catch_up catch_up{random};
--- a/tests/coordination/test_copy_schedule.cpp
+++ b/tests/coordination/test_copy_schedule.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("a copy takes the link's time, twice that to another zone", "[copy_schedule]")
+TEST_CASE("a copy takes its time on the link, and twice that to another zone", "[copy_schedule]")
 {
     // 3,000 tokens of 131,072 bytes at 19,000 Mbit/s are 165.6 ms.
     auto const near = copy_duration(engine(), 3'000, false);
@@ -29,12 +29,11 @@
     CHECK(far > 330ms);
 }
 
-// Load pattern: an upstream with six drafts of several entry VMs gets notice; all first copies
-// queue on the links of both ends for 1.2 s. A last copy stops its draft and then waits behind
-// them: 64 of some 300 callers saw their stream stand still for 0.2 to 1 s. Where the departure is
-// known nothing is stopped; the copy is refreshed in time, and what was generated since is read
-// again.
-TEST_CASE("no generation is stopped while its upstream's departure is known",
+// Load pattern: an upstream with six drafts of several entry VMs gets notice, and all first copies
+// queue on the links of both ends for 1.2 s. A last copy stops its draft and waits behind them: the
+// streams of 64 of some 300 callers paused for 0.2 to 1 s. If the departure time is known, no draft
+// is stopped: its copy is refreshed in time, and the tokens generated since are read again.
+TEST_CASE("no generation is stopped if its upstream's departure time is known",
           "[copy_schedule][load]")
 {
     departure const leaving{state::time_point{100s}, state::time_point{102s}};
@@ -44,7 +43,7 @@
     CHECK(times.last_at > *leaving.leaves_at);
 }
 
-// The same notice, but the upstream's report doesn't say when it leaves.
+// The same notice, but the upstream's report has no departure time.
 TEST_CASE("last copies wait for the first ones of all entry VMs", "[copy_schedule][load]")
 {
     departure const leaving{state::time_point{100s}, std::nullopt};
@@ -54,15 +53,16 @@
     CHECK(times.last_at + departure_margin <= departure_time(leaving));
 }
 
-TEST_CASE("last copies wait until a report may have told the departure", "[copy_schedule]")
+TEST_CASE("last copies wait until a report with the departure time may have arrived",
+          "[copy_schedule]")
 {
     departure const leaving{state::time_point{100s}, std::nullopt};
     CHECK(schedule_copies(leaving, engine(), 2'000, 1).last_at ==
           leaving.learnt_at + departure_report_delay);
 }
 
-// An upstream drains for ten seconds and says so. A first copy that waited for its end would be
-// dropped by then, and the caller's stream would break off: the generation moves early instead.
+// An upstream reports that it drains for ten seconds. A first copy that waited for its departure
+// would expire by then, and the caller's stream would break: the generation moves early instead.
 TEST_CASE("copies don't wait for a departure beyond their lifetime", "[copy_schedule]")
 {
     departure const leaving{state::time_point{100s}, state::time_point{110s}};
@@ -71,7 +71,7 @@
     CHECK(times.last_at < leaving.learnt_at + engine().copy_lifetime / 2);
 }
 
-TEST_CASE("an unknown departure is taken for the shortest notice", "[copy_schedule]")
+TEST_CASE("an unknown departure time is treated as the shortest notice", "[copy_schedule]")
 {
     departure const leaving{state::time_point{100s}, std::nullopt};
     copy_schedule const times = schedule_copies(leaving, engine(), 60'000, 15);
--- a/tests/coordination/test_evacuation_orders.cpp
+++ b/tests/coordination/test_evacuation_orders.cpp
@@ -30,8 +30,8 @@
 
 } // namespace
 
-// Work sent to a zone that its operators are emptying: the order is heard and changes nothing.
-TEST_CASE("upstreams of an evacuated zone take no work until the order is taken back",
+// Guards against work that is sent to a zone although its evacuation order was received.
+TEST_CASE("upstreams of an evacuated zone take no work until the order is revoked",
           "[evacuation_orders]")
 {
     service_directory directory;
@@ -50,8 +50,8 @@
     CHECK(directory.evacuations().ended_at(east) == now);
 }
 
-// A caller held for as long as it may wait, though no upstream will come.
-TEST_CASE("a service all of whose zones are evacuated is known as such", "[evacuation_orders]")
+// Guards against queueing a caller until its timeout although no upstream will become available.
+TEST_CASE("a service is wholly evacuated if all its zones are", "[evacuation_orders]")
 {
     service_directory directory;
     directory.evacuations().take({7, {{east, 6}, {west, 7}}}, now);
@@ -69,22 +69,22 @@
     CHECK_FALSE(directory.is_wholly_evacuated("lists", now));
 }
 
-// A VM that was cut off while the order was taken back, and while the store dropped that from its
-// history, tells all others of it: the zone would stay empty for good.
-TEST_CASE("an order that was taken back never returns by an old message", "[evacuation_orders]")
+// A VM is partitioned while an order is revoked and while the store drops the revocation from its
+// history. If the VM's message restored the order, the zone would stay empty for good.
+TEST_CASE("a revoked order is never restored by an old message", "[evacuation_orders]")
 {
-    evacuation_orders cut_off;
-    cut_off.take({5, {{east, 5}}}, now);
+    evacuation_orders partitioned;
+    partitioned.take({5, {{east, 5}}}, now);
     evacuation_orders others;
     others.take({8, {}}, now);
-    CHECK(others.take(cut_off.known(), now).empty());
+    CHECK(others.take(partitioned.known(), now).empty());
     CHECK_FALSE(others.covers(east));
-    REQUIRE(cut_off.take(others.known(), now).size() == 1);
-    CHECK_FALSE(cut_off.covers(east));
+    REQUIRE(partitioned.take(others.known(), now).size() == 1);
+    CHECK_FALSE(partitioned.covers(east));
 }
 
-// A peer told of a change and of what came after; the watch tells of the change again.
-TEST_CASE("a watch that is behind a peer's word undoes nothing", "[evacuation_orders]")
+// A peer reports a change and later ones; then the watch reports the change again.
+TEST_CASE("a watch that is behind a peer's report undoes nothing", "[evacuation_orders]")
 {
     evacuation_orders orders;
     orders.take({20, {{east, 20}}}, now);
@@ -97,7 +97,7 @@
     CHECK(orders.known().as_of == 21);
 }
 
-TEST_CASE("an order that was taken back and given again is in force", "[evacuation_orders]")
+TEST_CASE("an order that was revoked and given again is in force", "[evacuation_orders]")
 {
     evacuation_orders orders;
     std::array const first{state::evacuation_change{{east, 2}, false}};
@@ -112,17 +112,17 @@
     CHECK(orders.known().in_force == std::vector<state::evacuation>{{west, 4}, {east, 5}});
 }
 
-// VMs that heard the same messages in different orders, some of them twice or not at all, send work
-// to different zones for good.
-TEST_CASE("sets heard in any order join to the newest", "[evacuation_orders]")
+// Guards against VMs that send work to different zones for good, as they received the same messages
+// in different orders, some of them twice or not at all.
+TEST_CASE("sets received in any order merge to the newest", "[evacuation_orders]")
 {
     for (unsigned seed = 0; seed < 10'000; ++seed)
     {
         std::minstd_rand random{seed + 1};
-        std::vector<state::evacuations> told{{1, {}}};
+        std::vector<state::evacuations> sent{{1, {}}};
         for (std::uint64_t revision = 2; revision < 9; ++revision)
         {
-            state::evacuations next = told.back();
+            state::evacuations next = sent.back();
             next.as_of = revision;
             state::zone_id const zone = random() % 2 == 0 ? east : west;
             auto const former = std::erase_if(next.in_force, [zone](state::evacuation const& each)
@@ -131,15 +131,15 @@
             {
                 next.in_force.push_back({zone, revision});
             }
-            told.push_back(next);
+            sent.push_back(next);
         }
-        std::vector<state::evacuations> heard = told;
-        std::shuffle(heard.begin(), heard.end(), random);
+        std::vector<state::evacuations> received = sent;
+        std::shuffle(received.begin(), received.end(), random);
         evacuation_orders orders;
-        for (state::evacuations const& each : heard)
+        for (state::evacuations const& each : received)
         {
             orders.take(each, now);
         }
-        REQUIRE(orders.known().in_force == told.back().in_force);
+        REQUIRE(orders.known().in_force == sent.back().in_force);
     }
 }
--- a/tests/coordination/test_evidence_exchange.cpp
+++ b/tests/coordination/test_evidence_exchange.cpp
@@ -17,10 +17,10 @@
 
 constexpr state::request_digest request{77};
 constexpr state::time_point start{100s};
-/// \brief A VM that hears its peers has to know within this.
+/// \brief A VM that receives its peers' messages must have the evidence within this time.
 constexpr state::duration contact_timeout = 3s;
 
-/// \brief One entry VM: what it knows, and when it next tells all.
+/// \brief One entry VM: its evidence, and when it next sends a message to all others.
 struct entry_vm
 {
     request_quarantine quarantine;
@@ -28,7 +28,7 @@
     state::time_point sends_at{};
 };
 
-/// \brief A fleet in virtual time whose datagrams get lost.
+/// \brief A fleet in virtual time with loss of datagrams.
 struct lossy_fleet
 {
     lossy_fleet(std::size_t count, unsigned seed) : random{seed}, vms(count)
@@ -110,9 +110,9 @@
 
 } // namespace
 
-// Guards against VMs that go on sending a request that ends upstreams, as they missed both trees of
-// its evidence, or have just started, and tell so little themselves that nobody sees it.
-TEST_CASE("VMs that missed evidence have it within the time of contact", "[quarantine][load]")
+// Guards against VMs that keep sending a request that ends upstreams: they missed both broadcast
+// trees of its evidence, or have just started, and send so seldom that no peer notices.
+TEST_CASE("VMs that missed evidence have it within the contact timeout", "[quarantine][load]")
 {
     for (std::size_t const count : {6U, 60U, 300U})
     {
@@ -121,7 +121,7 @@
             lossy_fleet fleet{count, seed};
             for (std::size_t i = 0; i < count; ++i)
             {
-                // A tenth of them, one at least, knows nothing.
+                // A tenth of the VMs, at least one, has no evidence.
                 if (i % 10 != 0)
                 {
                     fleet.vms[i].quarantine.apply_update({request, state::member_key{1}, 0s},
@@ -133,13 +133,13 @@
             fleet.run(contact_timeout);
             CAPTURE(count, seed, fleet.sent_count, fleet.request_count);
             CHECK(fleet.informed_count(start + contact_timeout) == count);
-            // Some messages for each one that lacked it, whatever the size.
+            // A few messages for each VM that lacked it, whatever the size of the fleet.
             CHECK(fleet.sent_count <= 8 * (count / 10 + 1) + 10);
         }
     }
 }
 
-TEST_CASE("who knows the same as its peers asks and tells nothing", "[quarantine]")
+TEST_CASE("a VM with the same evidence as its peers neither requests nor sends it", "[quarantine]")
 {
     evidence_exchange exchange;
     for (int i = 0; i < 100; ++i)
@@ -147,7 +147,7 @@
         evidence_answer const answer = exchange.received({7, 7, false, 300, 0}, start + i * 100ms);
         CHECK_FALSE((answer.should_request || answer.should_send));
     }
-    // News that are still under way are no loss.
+    // An update that is still in flight does not count as lost.
     CHECK_FALSE(exchange.received({7, 8, false, 300, 5}, start + 10s).should_request);
     CHECK(
         exchange.received({7, 8, false, 300, 5}, start + 10s + evidence_exchange::propagation_time)
--- a/tests/coordination/test_fleet_view.cpp
+++ b/tests/coordination/test_fleet_view.cpp
@@ -16,13 +16,13 @@
 fleet_update update_from(std::uint64_t sender, std::uint64_t sequence,
                          std::uint32_t platform_age_ms)
 {
-    fleet_update news;
-    news.sender = state::node_id{sender};
-    news.incarnation_number = state::incarnation{100};
-    news.sequence = sequence;
-    news.platform_age_ms = platform_age_ms;
-    news.whole = true;
-    return news;
+    fleet_update message;
+    message.sender = state::node_id{sender};
+    message.incarnation_number = state::incarnation{100};
+    message.sequence = sequence;
+    message.platform_age_ms = platform_age_ms;
+    message.whole = true;
+    return message;
 }
 
 state::endpoint streams_of(std::uint64_t node)
@@ -30,7 +30,7 @@
     return {static_cast<std::uint32_t>(node), 7200};
 }
 
-/// \brief Views of some entry VMs that all hear each other.
+/// \brief Views of some entry VMs that all receive the messages of each other.
 class small_fleet
 {
 public:
@@ -80,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("of a fleet that can read the store, two do", "[fleet_view]")
+TEST_CASE("two VMs of a fleet that can reach the store read it", "[fleet_view]")
 {
     small_fleet fleet{9};
     state::time_point const now{10s};
@@ -89,10 +89,10 @@
     CHECK(fleet.readers(now).size() == fleet_view::readers);
 }
 
-// A key is revoked while the store turns both readers away. They know at once that they can't read;
-// if the others took over only when the last read has become old, callers with the revoked key
-// would be served for longer than the operators were promised.
-TEST_CASE("readers that lost the store are replaced as soon as they say so", "[fleet_view]")
+// A key is revoked while the store rejects both readers. They know at once that they can't read; if
+// other VMs took over only when the last read has become old, callers with the revoked key would be
+// served for longer than operators are promised.
+TEST_CASE("readers that lost the store are replaced as soon as they report it", "[fleet_view]")
 {
     small_fleet fleet{9};
     state::time_point const now{10s};
@@ -103,7 +103,7 @@
         fleet.send_update(node, UINT32_MAX, now + 10ms);
     }
     std::vector<std::uint64_t> const after = fleet.readers(now + 10ms);
-    // Those before go on trying.
+    // The former readers keep trying.
     CHECK(after.size() == 2 * fleet_view::readers);
 }
 
@@ -113,7 +113,7 @@
     state::time_point const now{10s};
     send_all_updates(fleet, 9, now);
     std::vector<std::uint64_t> const before = fleet.readers(now);
-    // The others are heard on; what they read is as old as the readers' last news.
+    // The other VMs still send; what they know is as old as the readers' last update.
     state::time_point const later = now + 1'400ms;
     for (std::uint64_t node = 1; node <= 9; ++node)
     {
@@ -126,15 +126,15 @@
     CHECK(fleet.readers(later).size() > fleet_view::readers);
 }
 
-TEST_CASE("a newer configuration is asked of different peers", "[fleet_view]")
+TEST_CASE("a newer configuration is requested from different peers", "[fleet_view]")
 {
     fleet_view view{state::node_id{1}};
     state::time_point const now{10s};
     for (std::uint64_t node = 2; node <= 40; ++node)
     {
-        fleet_update news = update_from(node, 1, 50);
-        news.configuration = node <= 20 ? 7 : 6;
-        view.apply_update(news, streams_of(node), 0, now);
+        fleet_update message = update_from(node, 1, 50);
+        message.configuration = node <= 20 ? 7 : 6;
+        view.apply_update(message, streams_of(node), 0, now);
     }
     std::vector<state::endpoint> asked;
     for (std::uint64_t draw = 0; draw < 50; ++draw)
@@ -151,22 +151,22 @@
     CHECK_FALSE(view.peer_with_newer_configuration(7, 1, now));
 }
 
-TEST_CASE("a directory that differs is fetched once news had time to arrive", "[fleet_view]")
+TEST_CASE("a directory that differs is fetched once updates had time to arrive", "[fleet_view]")
 {
     fleet_view view{state::node_id{1}};
     state::time_point const now{10s};
-    fleet_update news = update_from(2, 1, 50);
-    news.directory = 99;
-    view.apply_update(news, streams_of(2), 1, now);
+    fleet_update message = update_from(2, 1, 50);
+    message.directory = 99;
+    view.apply_update(message, streams_of(2), 1, now);
     CHECK_FALSE(view.peer_with_newer_directory(1, now + 100ms));
-    news.sequence = 2;
-    view.apply_update(news, streams_of(2), 1, now + 700ms);
+    message.sequence = 2;
+    view.apply_update(message, streams_of(2), 1, now + 700ms);
     CHECK(view.peer_with_newer_directory(1, now + 700ms));
     view.directory_changed(99, now + 700ms);
     CHECK_FALSE(view.peer_with_newer_directory(1, now + 700ms));
 }
 
-TEST_CASE("an uptime that looks older is believed once the other is silent", "[fleet_view]")
+TEST_CASE("a smaller incarnation is accepted once the other is silent", "[fleet_view]")
 {
     fleet_view view{state::node_id{1}};
     state::time_point const now{10s};
@@ -180,7 +180,7 @@
 namespace
 {
 
-/// \brief A fleet in virtual time: periodic messages with sightings, and datagrams that may be
+/// \brief A fleet in virtual time: periodic messages with heartbeats, and datagrams that may be
 /// lost.
 class timed_fleet
 {
@@ -218,7 +218,7 @@
         vms_[vm].read_at = {};
         vms_[vm].was_reader = false;
     }
-    /// \brief Nothing passes between VMs below `vm` and the others.
+    /// \brief Drops all datagrams between VMs below `vm` and the others.
     void partition_at(std::size_t vm)
     {
         partition_ = vm;
@@ -236,11 +236,11 @@
         return found;
     }
 
-    /// \brief How often a VM took up reading.
+    /// \brief How often a VM became a reader.
     std::size_t reader_starts = 0;
-    /// \brief Of 1,000 datagrams.
+    /// \brief Datagrams lost of 1,000.
     std::uint32_t lost_of_thousand = 0;
-    /// \brief The store turns all away.
+    /// \brief The store rejects all reads.
     bool store_is_down = false;
 
 private:
@@ -256,7 +256,7 @@
         std::uint64_t sequence = 0;
         bool is_up = true;
         bool was_reader = false;
-        bool lost = false;
+        bool has_failed = false;
     };
 
     void advance(std::size_t i)
@@ -267,18 +267,18 @@
             return;
         }
         bool const reads = self.view.update_reader_role(now_);
-        bool const begins = reads && !self.was_reader;
-        reader_starts += begins ? 1 : 0;
+        bool const starts_reading = reads && !self.was_reader;
+        reader_starts += starts_reading ? 1 : 0;
         self.was_reader = reads;
-        bool const was_lost = self.lost;
+        bool const had_failed = self.has_failed;
         if (reads && self.read_at + read_interval <= now_)
         {
-            self.lost = store_is_down;
+            self.has_failed = store_is_down;
             self.read_at = store_is_down ? self.read_at : now_;
             self.reads += store_is_down ? 0 : 1;
         }
-        self.lost = self.lost && reads;
-        if (now_ >= self.sends_at || begins || self.lost != was_lost)
+        self.has_failed = self.has_failed && reads;
+        if (now_ >= self.sends_at || starts_reading || self.has_failed != had_failed)
         {
             send_update(i);
         }
@@ -292,20 +292,20 @@
             now_ + jitter +
             (self.view.is_reader() ? self.view.reader_interval() : self.view.follower_interval());
         auto const age = std::chrono::duration_cast<std::chrono::milliseconds>(now_ - self.read_at);
-        fleet_update news =
+        fleet_update message =
             update_from(state::mix(i + 1, 99), ++self.sequence,
-                        self.lost ? UINT32_MAX : static_cast<std::uint32_t>(age.count()));
-        news.incarnation_number = state::incarnation{self.reads};
-        news.sequence = self.sequence;
-        news.heartbeat = self.reads;
-        news.readers = self.view.reader_heartbeats(now_);
+                        self.has_failed ? UINT32_MAX : static_cast<std::uint32_t>(age.count()));
+        message.incarnation_number = state::incarnation{self.reads};
+        message.sequence = self.sequence;
+        message.heartbeat = self.reads;
+        message.readers = self.view.reader_heartbeats(now_);
         for (std::size_t to = 0; to < vms_.size(); ++to)
         {
-            bool const passes =
+            bool const is_delivered =
                 (to < partition_) == (i < partition_) && random_() % 1'000 >= lost_of_thousand;
-            if (to != i && vms_[to].is_up && passes)
+            if (to != i && vms_[to].is_up && is_delivered)
             {
-                vms_[to].view.apply_update(news, streams_of(i), 0, now_);
+                vms_[to].view.apply_update(message, streams_of(i), 0, now_);
             }
         }
     }
@@ -320,9 +320,9 @@
 
 } // namespace
 
-// Load pattern: 300 VMs, one datagram in twenty is lost. Each VM that misses a message of a
-// reader took it for silent: some hundred at a time began to read configuration and list, and the
-// store was asked 6,000 times a minute for what two readers had told.
+// Load pattern: 300 VMs, one datagram in twenty is lost. If each VM that misses a message
+// of a reader took it for silent, some hundred at a time would read configuration and list: 6,000
+// reads a minute of what two readers have already sent.
 TEST_CASE("lost datagrams of readers change nothing in a fleet of 300", "[fleet_view][load]")
 {
     timed_fleet fleet{large_fleet_size, 5};
@@ -335,9 +335,9 @@
     CHECK(fleet.readers().size() == fleet_view::readers);
 }
 
-// Both readers lose power. Callers' new keys are refused until somebody reads on, and the store is
-// not to be met by all 298 others at once.
-TEST_CASE("a dead pair of readers is replaced in time and by few", "[fleet_view][load]")
+// Both readers lose power. Callers' new keys are refused until another VM reads, but not all
+// 298 others may read the store at once.
+TEST_CASE("a dead pair of readers is replaced in time and by few VMs", "[fleet_view][load]")
 {
     for (std::uint32_t seed = 1; seed <= 1; ++seed)
     {
@@ -356,9 +356,10 @@
     }
 }
 
-// A zone of 50 VMs is cut off from the others and reaches the store; both readers are outside. Its
-// callers are served by what its own readers learn, and as it comes back two of the fleet read on.
-TEST_CASE("a zone that is cut off has its own readers", "[fleet_view][load]")
+// A zone of 50 VMs is partitioned from the others and reaches the store; both readers are outside.
+// Its callers depend on readers of its own; when the partition heals, two VMs of the fleet remain
+// readers.
+TEST_CASE("a partitioned zone has its own readers", "[fleet_view][load]")
 {
     for (std::uint32_t seed = 1; seed <= 1; ++seed)
     {
@@ -379,8 +380,8 @@
     }
 }
 
-// The word of a reader that died is passed on by hundreds; it must not keep the reader alive.
-TEST_CASE("what is passed on of a dead reader ages", "[fleet_view]")
+// Hundreds of VMs forward the heartbeat of a dead reader; this must not keep the reader alive.
+TEST_CASE("the forwarded heartbeat of a dead reader ages", "[fleet_view]")
 {
     timed_fleet fleet{large_fleet_size, 3};
     fleet.run(8s);
@@ -389,7 +390,7 @@
     {
         fleet.kill(reader);
     }
-    // VMs that start now have never heard the dead ones themselves.
+    // VMs that start now have never received a message of the dead readers.
     for (std::size_t vm = 100; vm < 130; ++vm)
     {
         bool const is_dead = std::find(dead.begin(), dead.end(), vm) != dead.end();
@@ -402,8 +403,8 @@
     CHECK(fleet.readers().size() == fleet_view::readers);
 }
 
-// All reach the store again as it returns; until then few ask it, not all 300.
-TEST_CASE("a store that is down for all is not asked by all", "[fleet_view][load]")
+// When the store is back, reading resumes; until then few VMs try to read it, not all 300.
+TEST_CASE("a store that is down for all is not read by all", "[fleet_view][load]")
 {
     timed_fleet fleet{large_fleet_size, 4};
     fleet.run(8s);
@@ -416,26 +417,26 @@
     CHECK(fleet.readers().size() == fleet_view::readers);
 }
 
-// A reader's message tells of a directory that this VM had a moment ago: the change is on its way
-// to the reader. Hundreds took that for a loss and fetched the whole directory from the two
-// readers.
+// A reader's message has the digest of a directory that this VM had a moment ago: the change is in
+// flight to the reader. If that counted as a loss, hundreds of VMs would fetch the whole directory
+// from the two readers.
 TEST_CASE("a reader that is behind is not asked for its directory", "[fleet_view]")
 {
     fleet_view view{state::node_id{1}};
     state::time_point now{10s};
     view.directory_changed(7, now);
     view.directory_changed(8, now);
-    fleet_update news = update_from(2, 1, 50);
-    news.directory = 7;
-    view.apply_update(news, streams_of(2), 8, now);
-    news.sequence = 2;
+    fleet_update message = update_from(2, 1, 50);
+    message.directory = 7;
+    view.apply_update(message, streams_of(2), 8, now);
+    message.sequence = 2;
     now += 1s;
-    view.apply_update(news, streams_of(2), 8, now);
+    view.apply_update(message, streams_of(2), 8, now);
     CHECK_FALSE(view.peer_with_newer_directory(1, now));
 }
 
-// What a reader has and this VM lacks, most peers have as well.
-TEST_CASE("a directory is asked of all that agree with a reader", "[fleet_view][load]")
+// If this VM lacks an update that a reader has, most peers have the update as well.
+TEST_CASE("a directory is requested from any peer that agrees with a reader", "[fleet_view][load]")
 {
     fleet_view view{state::node_id{1}};
     state::time_point const now{10s};
@@ -443,9 +444,9 @@
     {
         for (std::uint64_t node = 2; node <= large_fleet_size; ++node)
         {
-            fleet_update news = update_from(node, at == now ? 1 : 2, node <= 3 ? 50 : 60'000);
-            news.directory = 99;
-            view.apply_update(news, streams_of(node), 1, at);
+            fleet_update message = update_from(node, at == now ? 1 : 2, node <= 3 ? 50 : 60'000);
+            message.directory = 99;
+            view.apply_update(message, streams_of(node), 1, at);
         }
     }
     std::vector<state::endpoint> asked;
--- a/tests/coordination/test_service_directory.cpp
+++ b/tests/coordination/test_service_directory.cpp
@@ -47,10 +47,10 @@
 
 } // namespace
 
-// A caller's draft is sent to an upstream that was reclaimed. One entry VM hears the notice from
-// the store, then the same entry VM hears an older listing from a peer that lags. Were the listing
-// to win, new work would go to an upstream that is about to be gone.
-TEST_CASE("a notice of leaving is never taken back by older or newer listings", "[directory]")
+// An entry VM receives the notice of a reclaimed upstream from the store, and then an older listing
+// from a peer that lags. If the listing counted, new work, such as a caller's draft, would go to an
+// upstream that is about to be gone.
+TEST_CASE("a notice of leaving is never undone by older or newer listings", "[directory]")
 {
     service_directory directory;
     state::time_point const now{10s};
@@ -63,9 +63,10 @@
     CHECK_FALSE(may_take_work(directory, "i-1", now));
 }
 
-// The store was away for seconds and upstreams' entries ran out meanwhile, though they live. If the
+// The store is unreachable for seconds, and the entries of live upstreams expire meanwhile. If the
 // removals counted at once, every entry VM would have no upstream left and refuse all callers.
-TEST_CASE("entries that lapsed in an outage stay usable until they can be back", "[directory]")
+TEST_CASE("entries that lapsed in an outage stay usable until they can be listed again",
+          "[directory]")
 {
     service_directory directory;
     state::time_point const start{10s};
@@ -80,7 +81,7 @@
     CHECK(may_take_work(directory, "i-1", start + 20s));
 }
 
-TEST_CASE("without an outage a removal counts at once", "[directory]")
+TEST_CASE("without an outage a removal takes effect at once", "[directory]")
 {
     service_directory directory;
     state::time_point const now{10s};
@@ -89,25 +90,25 @@
     CHECK_FALSE(may_take_work(directory, "i-1", now));
 }
 
-TEST_CASE("news joins to the same result in any order", "[directory]")
+TEST_CASE("updates merge to the same result in any order", "[directory]")
 {
     state::time_point const now{10s};
-    std::vector<state::service_member> news{
+    std::vector<state::service_member> updates{
         member_at("i-1", 1),          member_at("i-2", 2),
         leaving(member_at("i-1", 3)), removed(member_at("i-2", 2), 4),
         member_at("i-2", 5),          removed(member_at("i-1", 3), 6),
         member_at("i-3", 7)};
     service_directory in_order;
-    for (auto const& each : news)
+    for (auto const& each : updates)
     {
         in_order.merge(each, now);
     }
     std::minstd_rand random{1};
     for (int round = 0; round < 200; ++round)
     {
-        std::shuffle(news.begin(), news.end(), random);
+        std::shuffle(updates.begin(), updates.end(), random);
         service_directory shuffled;
-        for (auto const& each : news)
+        for (auto const& each : updates)
         {
             shuffled.merge(each, now);
         }
@@ -148,10 +149,10 @@
 
 } // namespace
 
-// An engine crashes while it is reclaimed and its VM starts it again under the same name. Callers
-// are refused for want of room while it stands idle: the notice, or the removal, of its former
-// start would count for the new one.
-TEST_CASE("an upstream that starts again takes work at once", "[directory]")
+// An engine crashes while it is reclaimed, and its VM restarts it under the same name. If the
+// notice or the removal of its former start counted for the new one, callers would be refused for
+// lack of capacity while it is idle.
+TEST_CASE("an upstream that restarts takes work at once", "[directory]")
 {
     service_directory directory;
     state::time_point const now{10s};
@@ -161,18 +162,18 @@
     CHECK(latest_takes_work(directory, "i-1", now));
     CHECK(directory.members_of("lists").size() == 1);
 
-    // The removal of the former start, told by a peer that lags.
+    // The removal of the former start, reported by a peer that lags.
     directory.merge(started(removed(member_at("i-1", 5), 7), 100), now);
     CHECK(latest_takes_work(directory, "i-1", now));
-    // The platform's own removal doesn't say of which start it is: of the latest.
+    // The platform's own removal names no start: it applies to the latest.
     directory.merge(removed(member_at("i-1", 8), 9), now);
     CHECK_FALSE(latest_takes_work(directory, "i-1", now));
     directory.merge(started(member_at("i-1", 11), 300), now);
     CHECK(latest_takes_work(directory, "i-1", now));
 }
 
-// A peer that lags, or a list as of seconds ago, tells of the former start after the new one is
-// known. Were it to count, calls would be sent to memory and connections that are gone.
+// A peer that lags, or a list that is seconds old, reports the former start after the new one is
+// known. If it counted, calls would rely on memory and connections that are gone.
 TEST_CASE("an older start never overrides a newer one", "[directory]")
 {
     service_directory directory;
@@ -186,10 +187,9 @@
     CHECK(directory.find(state::key_of("i-1", state::incarnation{100})) == nullptr);
 }
 
-// Another writer's entry stands in place of an upstream's own, until the upstream writes again. New
-// calls go elsewhere meanwhile; the upstream doesn't count as leaving, so calls that run are left
-// alone.
-TEST_CASE("an upstream whose entry turns bad gets no new work until it is good again",
+// Another writer replaces an upstream's entry until the upstream writes again. New calls go
+// elsewhere meanwhile; the upstream doesn't count as leaving, so running calls continue.
+TEST_CASE("an upstream whose entry becomes unusable gets no new work until it is usable",
           "[directory]")
 {
     service_directory directory;
@@ -199,16 +199,17 @@
     CHECK_FALSE(latest_takes_work(directory, "i-1", now));
     CHECK_FALSE(directory.find(*directory.latest("i-1"))->info.leaving);
 
-    // A peer that has only the good one: it is older than the bad one.
+    // A peer has only the usable entry, which is older than the unusable one.
     directory.merge(started(member_at("i-1", 6), 100), now);
     CHECK_FALSE(latest_takes_work(directory, "i-1", now));
     CHECK(directory.merge(started(member_at("i-1", 9), 100), now) == directory_change::listed);
     CHECK(latest_takes_work(directory, "i-1", now));
 }
 
-// The upstream's next entry, after another writer's, says that it leaves. Its callers' drafts have
-// to be copied: heard as a mere listing, the notice would be lost, and they would be cut.
-TEST_CASE("a notice is heard in the entry that follows a bad one", "[directory]")
+// After another writer's entry, the upstream's next one says that it leaves. If it counted as a
+// listing only, the notice would be lost, and its callers' drafts would break instead of being
+// copied.
+TEST_CASE("a notice in the entry that follows an unusable one takes effect", "[directory]")
 {
     service_directory directory;
     state::time_point const now{10s};
@@ -219,7 +220,7 @@
     CHECK_FALSE(latest_takes_work(directory, "i-1", now));
 }
 
-TEST_CASE("an entry without a start is no upstream's where others tell theirs", "[directory]")
+TEST_CASE("an entry without a start gets no work where other entries have one", "[directory]")
 {
     service_directory directory;
     state::time_point const now{10s};
@@ -244,16 +245,16 @@
     CHECK(directory.members_of("unknown").empty());
 }
 
-// What the store, peers and upstreams tell of five names through up to four starts each, in every
-// order: all entry VMs come to the same directory, in which the latest start is as its newest entry
-// says, and no former one takes work.
-TEST_CASE("news of starts join to the same result in any order", "[directory][seeds]")
+// The store, peers and upstreams report five names with up to four starts each, in random order.
+// All entry VMs must get the same directory, in which the latest start is as in its newest entry
+// and no former one takes work.
+TEST_CASE("updates of starts merge to the same result in any order", "[directory][seeds]")
 {
     state::time_point const now{10s};
     for (unsigned seed = 1; seed <= 10'000; ++seed)
     {
         std::minstd_rand random{seed};
-        std::vector<state::service_member> news;
+        std::vector<state::service_member> updates;
         std::uint64_t revision = 0;
         std::uint64_t start = 0;
         for (char const* const name : {"i-1", "i-2", "i-3", "i-4", "i-5"})
@@ -262,29 +263,29 @@
             for (unsigned i = 0; i < starts; ++i)
             {
                 start += 10;
-                news.push_back(started(member_at(name, ++revision), start));
+                updates.push_back(started(member_at(name, ++revision), start));
                 if (random() % 3 == 0)
                 {
-                    news.push_back(started(leaving(member_at(name, ++revision)), start));
+                    updates.push_back(started(leaving(member_at(name, ++revision)), start));
                 }
                 if (random() % 3 == 0)
                 {
-                    news.push_back(started(removed(member_at(name, 0), ++revision), start));
+                    updates.push_back(started(removed(member_at(name, 0), ++revision), start));
                 }
                 if (random() % 4 == 0)
                 {
-                    news.push_back(started(member_at(name, ++revision), start));
+                    updates.push_back(started(member_at(name, ++revision), start));
                 }
             }
         }
         service_directory in_order;
-        for (auto const& each : news)
+        for (auto const& each : updates)
         {
             in_order.merge(each, now);
         }
-        std::shuffle(news.begin(), news.end(), random);
+        std::shuffle(updates.begin(), updates.end(), random);
         service_directory shuffled;
-        for (auto const& each : news)
+        for (auto const& each : updates)
         {
             shuffled.merge(each, now);
         }
@@ -321,10 +322,10 @@
 
 } // namespace
 
-// Load pattern: 60 of 300 VMs miss the same datagram of a release among 1,000 upstreams. Each used
-// to fetch all rows from one of two readers, whose link was full for longer than any of them
-// waited, so none got them, and all asked again.
-TEST_CASE("of a directory only the parts that differ are exchanged", "[service_directory][load]")
+// Load pattern: 60 of 300 VMs miss the same datagram of a release among 1,000 upstreams. If each
+// fetched all rows from one of two readers, the reader's link would be full for longer than any VM
+// waits: all requests would time out and be repeated.
+TEST_CASE("only the buckets of a directory that differ are exchanged", "[service_directory][load]")
 {
     state::time_point const now{10s};
     service_directory behind;
--- a/tests/coordination/test_snapshot_in_use.cpp
+++ b/tests/coordination/test_snapshot_in_use.cpp
@@ -7,11 +7,11 @@
 using namespace plumdale;
 using namespace plumdale::test;
 
-// The control plane publishes a new snapshot while a request is being decided on. A shard that
-// looked at the newest one twice in one event would hold a member of the first while the second
-// look set it free: the relay then goes to an address read from freed memory. (Shows with the
-// address sanitizer.)
-TEST_CASE("a snapshot stays in use until its event is decided", "[snapshot_in_use]")
+// The control plane publishes a new snapshot while a request is handled. If a shard loaded the
+// newest snapshot twice in one event, the second load would free the first while a member of it is
+// in use: the relay would go to an address read from freed memory. (Detected by the address
+// sanitizer.)
+TEST_CASE("a snapshot stays in use until its event is handled", "[snapshot_in_use]")
 {
     shard_fixture vm;
     vm.view.members.push_back({{2}, {1}, {5}, 0, state::member_health::alive, {}, {}});
--- a/tests/coordination/test_subset_selector.cpp
+++ b/tests/coordination/test_subset_selector.cpp
@@ -34,8 +34,8 @@
 
 } // namespace
 
-TEST_CASE("in a large zone each engine has some entry VMs, and few change with the list",
-          "[engine_directory]")
+TEST_CASE("in a large zone some entry VMs share each engine, and a list change moves few",
+          "[subset_selector]")
 {
     fleet_snapshot fleet = large_zone(120, 60);
     std::map<state::upstream_id, int> shared;
@@ -45,15 +45,15 @@
     smaller.upstreams.erase(smaller.upstreams.begin());
     for (std::uint64_t node = 1; node <= 60; ++node)
     {
-        subset_selector directory{state::node_id{node}, zone_a, {}};
+        subset_selector selector{state::node_id{node}, zone_a, {}};
         std::vector<state::upstream_id> before;
-        for (upstream_view const* each : directory.select(fleet, lists).all)
+        for (upstream_view const* each : selector.select(fleet, lists).all)
         {
             before.push_back(each->info.id);
             ++shared[each->info.id];
         }
         CHECK(before.size() == 16);
-        for (upstream_view const* each : directory.select(smaller, lists).all)
+        for (upstream_view const* each : selector.select(smaller, lists).all)
         {
             bool const known = std::count(before.begin(), before.end(), each->info.id) > 0;
             moved += known ? 0 : 1;
@@ -63,17 +63,19 @@
     CHECK(moved <= shared[fleet.upstreams[0].info.id]);
 }
 
-TEST_CASE("a choice is kept for one version and follows the next", "[engine_directory]")
+TEST_CASE("a subset is cached for one snapshot version and rebuilt for the next",
+          "[subset_selector]")
 {
     fleet_snapshot fleet = large_zone(4, 1);
-    subset_selector directory{state::node_id{1}, zone_a, {}};
-    CHECK(directory.select(fleet, lists).own_zone.size() == 4);
+    subset_selector selector{state::node_id{1}, zone_a, {}};
+    CHECK(selector.select(fleet, lists).own_zone.size() == 4);
     fleet.upstreams[0].accepting = false;
     ++fleet.version;
-    CHECK(directory.select(fleet, lists).own_zone.size() == 3);
+    CHECK(selector.select(fleet, lists).own_zone.size() == 3);
 }
 
-TEST_CASE("the baselines refuse above their cap, a question later than a draft", "[capped_policy]")
+TEST_CASE("the baselines refuse drafts above their cap, and questions later than drafts",
+          "[memory_cap_policy]")
 {
     fleet_snapshot fleet = fleet_of(2);
     report(*fleet.upstreams[0].gauge, 3500, 20, at(0));
