--- a/include/plumdale/coordination/fleet_snapshot.hpp
+++ b/include/plumdale/coordination/fleet_snapshot.hpp
@@ -23,7 +23,7 @@
 struct upstream_view
 {
     state::upstream info;
-    /// \brief Shared by all snapshots that hold this upstream in this uptime.
+    /// \brief Shared by all snapshots that hold this upstream in this incarnation.
     std::shared_ptr<upstream_gauge> gauge;
     /// \brief False when it is leaving or presumed dead: it gets no new work.
     bool accepting = true;
--- a/include/plumdale/coordination/fleet_update.hpp
+++ b/include/plumdale/coordination/fleet_update.hpp
@@ -38,7 +38,7 @@
 
     state::node_id sender;
     state::incarnation incarnation_number;
-    /// \brief Grows with each message of this uptime.
+    /// \brief Grows with each message of this incarnation.
     std::uint64_t sequence = 0;
     /// \brief Version of the configuration that the sender follows; zero if none.
     std::uint64_t configuration = 0;
--- a/src/coordination/fleet_view.cpp
+++ b/src/coordination/fleet_view.cpp
@@ -29,10 +29,11 @@
     peer_state& peer = place->second;
     // Incarnations are numbered by the time of day, which may have stepped back: a smaller one is
     // accepted once the other has been silent for longer than a datagram is in flight.
-    bool const is_past_uptime = update.incarnation_number < peer.incarnation_number &&
-                                peer.last_contact + propagation_time >= now;
-    bool const is_old = is_past_uptime || (update.incarnation_number == peer.incarnation_number &&
-                                           update.sequence <= peer.sequence);
+    bool const is_past_incarnation = update.incarnation_number < peer.incarnation_number &&
+                                     peer.last_contact + propagation_time >= now;
+    bool const is_old =
+        is_past_incarnation ||
+        (update.incarnation_number == peer.incarnation_number && update.sequence <= peer.sequence);
     if (is_old)
     {
         return false;
--- a/src/coordination/service_directory.cpp
+++ b/src/coordination/service_directory.cpp
@@ -26,12 +26,12 @@
 [[nodiscard]] directory_change change_between(listing_status before, listing_status after) noexcept
 {
     bool const was_available = before.listed && before.usable;
-    bool const is_available = after.listed && after.usable;
+    bool const now_available = after.listed && after.usable;
     if (before.listed && !after.listed)
     {
         return directory_change::removed;
     }
-    if (!was_available && is_available)
+    if (!was_available && now_available)
     {
         return directory_change::listed;
     }
