--- a/include/plumdale/coordination/content_exchange.hpp
+++ b/include/plumdale/coordination/content_exchange.hpp
@@ -35,7 +35,7 @@
             note(ref, message.sender, fetches_for_zone(ref.key), now);
         }
     }
-    /// \brief Announces a new version that is announce, and cancels the fetch of it or an older one.
+    /// \brief Announces a new version that is held, and cancels the fetch of it or an older one.
     void announce(state::content_ref const& ref, std::size_t fleet_size);
     void unavailable(content_unavailable const& event, state::time_point now);
     /// \brief Answers a peer's request for a value.
--- a/tests/coordination/test_fleet_view.cpp
+++ b/tests/coordination/test_fleet_view.cpp
@@ -103,7 +103,7 @@
         fleet.send_update(node, UINT32_MAX, now + 10ms);
     }
     std::vector<std::uint64_t> const after = fleet.readers(now + 10ms);
-    // The former reader_count keep trying.
+    // The former readers keep trying.
     CHECK(after.size() == 2 * fleet_view::reader_count);
 }
 
