--- a/include/plumdale/protocol/admin_codec.hpp
+++ b/include/plumdale/protocol/admin_codec.hpp
@@ -14,7 +14,7 @@
 namespace plumdale::protocol
 {
 
-/// \brief What a status page shows beside the snapshot.
+/// \brief Data that a status page shows in addition to the snapshot.
 struct node_status
 {
     state::member self;
@@ -29,11 +29,11 @@
 [[nodiscard]] std::string status_body(node_status const& node,
                                       coordination::fleet_snapshot const& fleet);
 
-/// \brief Returns one preset as published; a model that no upstream names is shown as its id.
+/// \brief Returns one preset as published; a model that no upstream serves is shown by its id.
 [[nodiscard]] std::string preset_body(state::preset const& preset,
                                       coordination::fleet_snapshot const& fleet);
 
-/// \brief An operator's wish, as sent.
+/// \brief An operator's request to switch presets, as sent.
 struct switch_request
 {
     state::preset_id preset;
--- a/include/plumdale/protocol/caller_codec.hpp
+++ b/include/plumdale/protocol/caller_codec.hpp
@@ -9,12 +9,12 @@
 #include <string_view>
 
 /// \file
-/// \brief Callers' HTTP bodies and headers, to and from typed values.
+/// \brief Conversion of callers' HTTP bodies and headers to and from typed values.
 
 namespace plumdale::protocol
 {
 
-/// \brief What the transport read of one HTTP request. Views hold while the request is alive.
+/// \brief Parts of an HTTP request that are decoded. The views are valid while the request lives.
 struct http_request_view
 {
     std::string_view method;
@@ -31,17 +31,17 @@
 };
 
 /// \brief Decodes a request. Fails with `invalid_request`, `unauthenticated` (no key) or
-/// `unknown_generation` (an identity that is no identity). `now` turns a deadline into a moment.
+/// `unknown_generation` (a malformed identity). A deadline is counted from `now`.
 [[nodiscard]] state::result<state::request> decode_request(http_request_view const& message,
                                                            state::time_point now);
 
 /// \brief Returns the server-sent event of one token.
 [[nodiscard]] std::string token_event(event_id const& id, std::string_view text);
 
-/// \brief Returns the event that ends a whole stream.
+/// \brief Returns the event that ends a complete stream.
 [[nodiscard]] std::string_view done_event() noexcept;
 
-/// \brief What an error object says.
+/// \brief Contents of an error object.
 struct error_details
 {
     state::error_kind kind = state::error_kind::internal;
@@ -54,7 +54,7 @@
 /// \brief Returns the error object as JSON.
 [[nodiscard]] std::string error_body(error_details const& error);
 
-/// \brief Returns the event that ends a broken stream.
+/// \brief Returns the event that ends a stream with an error.
 [[nodiscard]] std::string error_event(error_details const& error);
 
 /// \brief Returns the answer to a caller that does not stream.
--- a/include/plumdale/protocol/dialect.hpp
+++ b/include/plumdale/protocol/dialect.hpp
@@ -16,19 +16,20 @@
 #include <vector>
 
 /// \file
-/// \brief What the forwarding daemon needs of a platform's wire format.
+/// \brief Interface of the forwarding daemon to a platform's wire format.
 
 namespace plumdale::protocol
 {
 
-/// \brief How new an answer of the platform's store has to be.
+/// \brief Consistency that a read of the platform's store requires.
 enum class read_consistency : std::uint8_t
 {
     current,
-    allow_stale ///< By seconds; costs a tenth and does not count toward the rate limit.
+    allow_stale ///< The answer may be seconds old; it costs a tenth and doesn't count toward the
+                ///< rate limit.
 };
 
-/// \brief What a caller's head says to the system.
+/// \brief Headers of a caller's request that the system evaluates.
 struct call_headers
 {
     /// \brief Identifies this attempt; empty when it is missing.
@@ -37,27 +38,27 @@
     std::optional<state::duration> time_left;
     std::string key;
     std::uint32_t prompt_tokens = 0;
-    /// \brief Most tokens that the answer may have; zero for plain calls.
+    /// \brief Maximum number of tokens of the answer; zero for plain calls.
     std::uint32_t output_limit = 0;
-    /// \brief The caller's estimate of the answer's tokens; right at the median, often far off.
+    /// \brief The caller's estimate of the answer's tokens; accurate at the median, often far off.
     std::uint32_t output_hint = 0;
 };
 
-/// \brief Where a generation goes on that began elsewhere.
+/// \brief Where an upstream resumes a generation that another one began.
 struct resume_point
 {
     /// \brief Upstream that made the copy, or that holds a backup.
     state::endpoint holder;
     std::string handle;
-    /// \brief The last whole event that reached this entry VM.
+    /// \brief The last complete event that this entry VM received.
     std::uint64_t last_event = 0;
 };
 
-/// \brief What the system adds to a call that it passes on.
+/// \brief Headers that the system adds to a forwarded call.
 struct system_headers
 {
     state::duration time_left{};
-    /// \brief Incarnation that is meant; any other refuses the call.
+    /// \brief Expected incarnation of the upstream; any other one refuses the call.
     std::string member;
     /// \brief Empty when the call has no customer.
     std::string customer;
@@ -67,80 +68,81 @@
     std::optional<state::endpoint> backup;
 };
 
-/// \brief What an upstream's head says to the system.
+/// \brief Headers of an upstream's answer that the system evaluates.
 struct answer_headers
 {
     std::string id;
-    /// \brief Carries the upstream's signature, without which a success doesn't count.
+    /// \brief Whether the upstream signed the answer; a success without a signature doesn't count.
     bool is_signed = false;
     /// \brief The upstream states that the call did not run.
     bool not_run = false;
     /// \brief Another incarnation has this address now.
     bool misdirected = false;
-    /// \brief The body has a coding that nobody asked for.
+    /// \brief The body has a content coding, which was not requested.
     bool encoded = false;
     bool closes = false;
-    /// \brief How long the upstream keeps the idle connection, when it says so.
+    /// \brief How long the upstream keeps the idle connection, if it states it.
     std::optional<state::duration> keep_alive;
-    /// \brief How long the upstream stays cold, when it says so.
+    /// \brief How long the upstream stays cold, if it states it.
     std::optional<state::duration> cold_for;
-    /// \brief Requests a second that it takes from all entry VMs together, while it says so.
+    /// \brief Requests per second that the upstream accepts from all entry VMs together, if it
+    /// states a limit.
     std::optional<double> request_limit;
     bool is_event_stream = false;
 };
 
-/// \brief An entry of the platform's list that can't be believed: another writer's, or damaged.
+/// \brief A rejected entry of the platform's list: damaged, or written by another writer.
 struct unusable_entry
 {
-    /// \brief Name of the upstream under which it stands.
+    /// \brief Name of the upstream in the key of the entry.
     std::string name;
     std::uint64_t revision = 0;
-    /// \brief What is wrong with it, for the log.
+    /// \brief Reason for the rejection, for the log.
     std::string_view reason;
 };
 
-/// \brief An order of evacuation, given or taken back.
+/// \brief An evacuation order, issued or withdrawn.
 struct evacuation_order
 {
     std::string zone;
     state::evacuation_change change;
 };
 
-/// \brief A read of the platform's store.
+/// \brief One page of a read of the platform's store.
 struct store_page
 {
     /// \brief The newest configuration in the page, as published; empty if there is none.
     std::string configuration;
     std::vector<state::service_member> members;
-    /// \brief Entries that name no upstream to use; the others hold.
+    /// \brief Rejected entries; the other entries of the page are valid.
     std::vector<unusable_entry> unusable;
     std::vector<evacuation_order> orders;
     /// \brief The store's revision when it answered.
     std::uint64_t revision = 0;
-    /// \brief The greatest revision of what the page holds.
+    /// \brief The greatest revision of the page's items.
     std::uint64_t newest_revision = 0;
-    /// \brief The next page of a list begins behind this key; empty at the end.
+    /// \brief Key after which the next page of a list begins; empty on the last page.
     std::string next_page;
 };
 
-/// \brief Answer of an upstream to the order to copy a generation's memory.
+/// \brief Answer of an upstream to the request to copy a generation's memory.
 struct copy_answer
 {
     std::string handle;
-    /// \brief Events that the generation had made.
+    /// \brief Number of events that the generation had produced.
     std::uint64_t events = 0;
 };
 
-/// \brief What an upstream says of itself.
+/// \brief An upstream's report on itself.
 struct member_report
 {
-    /// \brief Time until it is taken away, when it knows.
+    /// \brief Time until the upstream is removed, if it is known.
     std::optional<state::duration> leaves_in;
-    /// \brief Its start; zero where it doesn't tell.
+    /// \brief Start of the upstream; zero if the report doesn't state it.
     state::incarnation started;
 };
 
-/// \brief A small request of the daemon's own.
+/// \brief A request that the daemon itself makes to an upstream.
 struct upstream_request
 {
     std::string method = "GET";
@@ -148,7 +150,7 @@
     std::string body;
 };
 
-/// \brief Names, formats and calls of one platform. Translates and decides nothing.
+/// \brief Names, formats and calls of one platform. A dialect translates and makes no decisions.
 class dialect
 {
 public:
@@ -159,17 +161,18 @@
 
     // -- callers ------------------------------------------------------------
     [[nodiscard]] virtual call_headers read_call(message_head const& head) const = 0;
-    /// \brief Path at which the platform's balancer asks whether this entry VM is ready.
+    /// \brief Path at which the platform's balancer checks whether this entry VM is ready.
     [[nodiscard]] virtual std::string_view ready_target() const = 0;
 
     // -- upstreams ------------------------------------------------------------
-    /// \brief Returns the head of the call as passed on, whole, with the framing of a body of
+    /// \brief Returns the complete head of the forwarded call, with the framing of a body of
     /// `body_bytes`.
     [[nodiscard]] virtual std::string forwarded_head(message_head const& head,
                                                      system_headers const& headers,
                                                      std::size_t body_bytes) const = 0;
     [[nodiscard]] virtual answer_headers read_answer(message_head const& head) const = 0;
-    /// \brief Order to copy the memory of generation `id` to another upstream; `is_last` stops it.
+    /// \brief Request to copy the memory of generation `id` to another upstream; `is_last` also
+    /// stops the generation.
     [[nodiscard]] virtual upstream_request copy_request(std::string_view id, state::endpoint to,
                                                         bool is_last) const = 0;
     [[nodiscard]] virtual state::result<copy_answer>
@@ -179,16 +182,16 @@
     [[nodiscard]] virtual state::result<member_report> read_report(std::string_view body) const = 0;
 
     // -- the platform's store ------------------------------------------------------------
-    /// \brief What the operators wrote: the configuration and orders of evacuation.
+    /// \brief Target that lists what the operators wrote: the configuration and evacuation orders.
     [[nodiscard]] virtual std::string operator_entries_target(read_consistency consistency,
                                                               std::string_view page) const = 0;
     [[nodiscard]] virtual std::string member_list_target(read_consistency consistency,
                                                          std::string_view page) const = 0;
-    /// \brief Reads from the fields of any of the store's answers how often it has come back from
-    /// a copy; none where it doesn't tell.
+    /// \brief Returns how often the store was restored from a copy, as the header fields of any of
+    /// its answers state it; none if they don't.
     [[nodiscard]] virtual std::optional<std::uint64_t>
     read_era(std::span<header_field const> fields) const = 0;
-    /// \brief Reads a page of upstreams or of what the operators wrote.
+    /// \brief Decodes a page of upstreams or of operators' entries.
     [[nodiscard]] virtual state::result<store_page> read_list(std::string_view body) const = 0;
     [[nodiscard]] virtual std::string watch_target(std::uint64_t after,
                                                    state::duration wait) const = 0;
--- a/include/plumdale/protocol/digest.hpp
+++ b/include/plumdale/protocol/digest.hpp
@@ -14,7 +14,7 @@
 /// \brief Returns the SHA-256 digest of `text`.
 [[nodiscard]] state::sha256_digest sha256(std::string_view text);
 
-/// \brief Returns what is the same in all attempts of a request. The path has no query.
+/// \brief Returns a digest that all attempts of a request share. The path has no query.
 [[nodiscard]] state::request_digest digest_of_request(std::string_view host, std::string_view path,
                                                       std::string_view customer,
                                                       std::string_view body);
--- a/include/plumdale/protocol/engine_codec.hpp
+++ b/include/plumdale/protocol/engine_codec.hpp
@@ -17,7 +17,7 @@
 namespace plumdale::protocol
 {
 
-/// \brief A token as an engine sent it. A malformed identity is read as none.
+/// \brief A token as an engine sent it. A malformed identity is read as an empty one.
 struct engine_token
 {
     state::generation_id generation;
@@ -34,7 +34,7 @@
 
 using engine_event = std::variant<engine_token, engine_done>;
 
-/// \brief What starts a generation.
+/// \brief Parameters that start a generation.
 struct engine_start
 {
     state::generation_id generation;
@@ -50,7 +50,7 @@
 /// \brief Decodes the data of one event. Fails with `upstream_fault`.
 [[nodiscard]] state::result<engine_event> decode_engine_event(std::string_view data);
 
-/// \brief Decodes a load report; the upstream is left to the caller. Fails with `upstream_fault`.
+/// \brief Decodes a load report without setting its upstream. Fails with `upstream_fault`.
 [[nodiscard]] state::result<state::load_report> decode_load(std::string_view body);
 
 /// \brief Returns the body of an order.
@@ -59,11 +59,12 @@
 /// \brief Decodes the order that an engine follows. Fails with `upstream_fault`.
 [[nodiscard]] state::result<state::engine_order> decode_order(std::string_view body);
 
-/// \brief Cuts a byte stream into the data lines of server-sent events; keeps what is unfinished.
+/// \brief Splits a byte stream into the data lines of server-sent events; buffers an unfinished
+/// line.
 class event_data_splitter
 {
 public:
-    /// \brief Most bytes of one unfinished line.
+    /// \brief Maximum number of bytes of an unfinished line.
     static constexpr std::size_t line_limit = 65'536;
 
     /// \brief Adds bytes. Returns false when a line grows past the limit.
--- a/include/plumdale/protocol/error_budget_text.hpp
+++ b/include/plumdale/protocol/error_budget_text.hpp
@@ -6,12 +6,12 @@
 #include <string>
 
 /// \file
-/// \brief The burn report as JSON and as metrics.
+/// \brief The error budget report as JSON and as metrics.
 
 namespace plumdale::protocol
 {
 
-/// \brief Names that the report shows for its identifiers.
+/// \brief Functions that return the names shown for the report's identifiers.
 struct error_budget_names
 {
     std::function<std::string(state::model_id)> service;
--- a/include/plumdale/protocol/fleet_codec.hpp
+++ b/include/plumdale/protocol/fleet_codec.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 
 /// \file
-/// \brief News between forwarding entry VMs as bytes.
+/// \brief Encoding of messages between forwarding entry VMs.
 
 namespace plumdale::protocol
 {
@@ -40,10 +40,10 @@
 [[nodiscard]] state::result<coordination::directory_copy>
 decode_directory_copy(std::string_view body);
 
-/// \brief Returns the body of a question for what differs of a directory.
+/// \brief Returns the body of a request for the parts of a directory that differ.
 [[nodiscard]] std::string encode(coordination::bucket_digests const& digests);
 
-/// \brief Reads such a body; fails with `invalid_request` if it has another length.
+/// \brief Reads such a body; fails with `invalid_request` if its length is wrong.
 [[nodiscard]] state::result<coordination::bucket_digests>
 decode_bucket_digests(std::string_view body);
 
--- a/include/plumdale/protocol/forward_settings.hpp
+++ b/include/plumdale/protocol/forward_settings.hpp
@@ -16,24 +16,24 @@
 namespace plumdale::protocol
 {
 
-/// \brief Everything that a forwarding `plumdaled` is told. Its file names `"mode": "forward"`.
+/// \brief Settings of a forwarding `plumdaled`. The file contains `"mode": "forward"`.
 struct forward_settings
 {
     std::string name; ///< This entry VM, in logs.
     std::string zone;
-    state::endpoint callers;   ///< Where callers are heard.
-    state::endpoint ready;     ///< Where the balancer asks, and `/metrics`.
+    state::endpoint callers;   ///< Address to listen on for callers.
+    state::endpoint ready;     ///< Address of the balancer's readiness check and of `/metrics`.
     state::endpoint datagrams; ///< UDP, to and from peers.
-    state::endpoint streams;   ///< TCP, for peers that ask for what they lack.
+    state::endpoint streams;   ///< TCP, for peers that request missing data.
     state::endpoint platform;  ///< The platform's store.
-    /// \brief Peers to begin with; those without this VM's datagram port get it.
+    /// \brief Initial peers; their port is replaced by this VM's datagram port.
     std::vector<state::endpoint> seeds;
     std::string fleet_key;
-    /// \brief Time between SIGTERM and the end that the platform forces.
+    /// \brief Time from SIGTERM until the platform kills the process.
     state::duration grace = std::chrono::seconds{8};
-    /// \brief Longest pause of a stream that its callers' objective allows an event on its way.
+    /// \brief Longest delay of a stream's event in transit that the callers' objective allows.
     state::duration event_delay = std::chrono::milliseconds{120};
-    /// \brief Bytes a second that go on telling peers of starts and ends of generations.
+    /// \brief Bytes per second spent on reporting starts and ends of generations to peers.
     double load_news_bytes_per_second = coordination::load_update_queue::default_bytes_per_second;
     coordination::fleet_retry_limit repeats;
 };
--- a/include/plumdale/protocol/http_reader.hpp
+++ b/include/plumdale/protocol/http_reader.hpp
@@ -27,22 +27,22 @@
     none,
     length,
     chunked,
-    until_close ///< Only the connection's end tells; a break looks the same.
+    until_close ///< Ends with the connection; a broken connection looks the same.
 };
 
-/// \brief Where the reader stands.
+/// \brief Progress of the reader.
 enum class read_progress : std::uint8_t
 {
-    head,     ///< The head is not whole yet.
-    body,     ///< The head is whole, the body is not.
-    whole,    ///< The message ended; bytes behind it were not taken.
-    malformed ///< These bytes are no HTTP message, or an ambiguous or oversized one.
+    head,     ///< The head is not complete yet.
+    body,     ///< The head is complete, the body is not.
+    whole,    ///< The message is complete; bytes after its end were not consumed.
+    malformed ///< The bytes are not an HTTP message, or an ambiguous or oversized one.
 };
 
 /// \brief Reads one message from bytes as they arrive; parsing by Beast.
 ///
 /// Both a length and chunked coding, two lengths, or chunked coding that is not last are refused:
-/// two readers could see two messages in them. Example:
+/// two readers could disagree on where such a message ends. Example:
 /// \code
 /// http_reader reader{message_role::request, {16384, 1 << 20}};
 /// reader.append(bytes);
@@ -62,21 +62,21 @@
     http_reader& operator=(http_reader&&) noexcept;
     ~http_reader();
 
-    /// \brief Takes bytes; those behind the message's end stay in `unconsumed()`.
+    /// \brief Consumes bytes; those after the message's end stay in `unconsumed()`.
     read_progress append(std::string_view bytes);
-    /// \brief The connection ended in order. Completes a body that ends with it; elsewhere the
-    /// message stays as it is.
+    /// \brief Reports that the connection was closed in order. This completes a body that ends with
+    /// the connection; any other message stays as it is.
     read_progress append_eof();
 
     [[nodiscard]] read_progress progress() const noexcept;
     [[nodiscard]] body_framing framing() const noexcept;
     /// \brief Returns the head; valid once progress is beyond `head`.
     [[nodiscard]] message_head const& head() const noexcept;
-    /// \brief Returns the body bytes that came since the last call.
+    /// \brief Returns the body bytes that arrived since the last call.
     [[nodiscard]] std::string take_body();
-    /// \brief Returns bytes that were not taken: behind the end, or an unfinished head.
+    /// \brief Returns bytes that were not consumed: those after the end, or an unfinished head.
     [[nodiscard]] std::string_view unconsumed() const noexcept;
-    /// \brief Returns whether any byte came.
+    /// \brief Returns whether any byte arrived.
     [[nodiscard]] bool has_begun() const noexcept;
     /// \brief Returns whether the message is too large for its bounds, when malformed.
     [[nodiscard]] bool is_too_large() const noexcept;
--- a/include/plumdale/protocol/json_reader.hpp
+++ b/include/plumdale/protocol/json_reader.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 
 /// \file
-/// \brief Checked reading of JSON from outside.
+/// \brief Checked reading of untrusted JSON.
 
 namespace plumdale::protocol
 {
@@ -21,11 +21,11 @@
                                                      std::string_view name);
 
 /// \brief Returns a whole number member of 0 to `limit`, or `otherwise` when it is missing or
-/// unfit.
+/// invalid.
 [[nodiscard]] std::uint64_t number_or(boost::json::object const& object, std::string_view name,
                                       std::uint64_t otherwise, std::uint64_t limit = UINT64_MAX);
 
-/// \brief Returns a real member, or `otherwise` when it is missing or no number.
+/// \brief Returns a real member, or `otherwise` when it is missing or not a number.
 [[nodiscard]] double real_or(boost::json::object const& object, std::string_view name,
                              double otherwise);
 
--- a/include/plumdale/protocol/link_authenticator.hpp
+++ b/include/plumdale/protocol/link_authenticator.hpp
@@ -22,10 +22,11 @@
 /// \brief Returns whether two MACs are equal, in constant time.
 [[nodiscard]] bool macs_equal(link_mac const& a, link_mac const& b) noexcept;
 
-/// \brief Makes the MACs of one direction of one link.
+/// \brief Computes the MACs of one direction of one link.
 ///
-/// The key comes from the fleet key and both nonces, and each MAC covers the frame's number, so
-/// that a recorded frame is worth nothing on another link or at another place of the same one.
+/// The key is derived from the fleet key and both nonces, and each MAC covers the frame's number,
+/// so that a recorded frame is not accepted on another link or at another position of the same
+/// link.
 class link_authenticator
 {
 public:
--- a/include/plumdale/protocol/link_codec.hpp
+++ b/include/plumdale/protocol/link_codec.hpp
@@ -17,7 +17,7 @@
 namespace plumdale::protocol
 {
 
-/// \brief Random bytes that make the keys of one link its own.
+/// \brief Random bytes that make the keys of each link different.
 using link_nonce = std::array<std::uint8_t, 16>;
 
 /// \brief First frame of each side.
@@ -27,12 +27,12 @@
     link_nonce nonce{};
 };
 
-/// \brief Says that the sender is alive when it has nothing else to say.
+/// \brief Shows that the sender is alive while it has nothing else to send.
 struct link_heartbeat
 {
 };
 
-/// \brief What the relaying side tells of its caller.
+/// \brief An event of the caller, as reported by the relaying side.
 enum class caller_event : std::uint8_t
 {
     disconnected,
@@ -40,7 +40,7 @@
     ready
 };
 
-/// \brief Answer to a content request; `text` is null when the version is not held.
+/// \brief Answer to a content request; `text` is null if the peer doesn't hold the version.
 struct link_content
 {
     state::content_ref wanted;
@@ -48,20 +48,20 @@
     std::shared_ptr<std::string const> text;
 };
 
-/// \brief A `content_ref` asks for content. The `caller` of relay events is the frame's exchange.
+/// \brief A `content_ref` requests content. The `caller` of relay events is the frame's exchange.
 using link_body =
     std::variant<link_heartbeat, link_hello, state::request, coordination::relay_head,
                  coordination::relay_token, coordination::relay_finished,
                  coordination::relay_refused, caller_event, state::content_ref, link_content>;
 
-/// \brief One frame; `exchange` names the relay or content request on its link.
+/// \brief One frame; `exchange` identifies the relay or content request on its link.
 struct link_frame
 {
     std::uint64_t exchange = 0;
     link_body body;
 };
 
-/// \brief Returns the frame's bytes. A deadline travels as the time that is left at `now`.
+/// \brief Returns the frame's bytes. A deadline is sent as the time that is left at `now`.
 [[nodiscard]] std::string encode_frame(link_frame const& frame, state::time_point now);
 
 /// \brief Decodes a frame. Fails with `invalid_request` on anything malformed.
--- a/include/plumdale/protocol/message_head.hpp
+++ b/include/plumdale/protocol/message_head.hpp
@@ -36,7 +36,7 @@
 [[nodiscard]] bool equals_ignore_case(std::string_view a, std::string_view b) noexcept;
 
 /// \brief Returns whether a field concerns one connection only: the standard ones and those that
-/// `head`'s own Connection field names. Body framing counts too, as each hop frames anew.
+/// `head`'s own Connection field names. Body framing is included, as each hop frames the body anew.
 [[nodiscard]] bool is_hop_by_hop(message_head const& head, std::string_view name) noexcept;
 
 /// \brief Returns whether a comma-separated list holds a token; case does not matter.
--- a/include/plumdale/protocol/platform_codec.hpp
+++ b/include/plumdale/protocol/platform_codec.hpp
@@ -21,11 +21,11 @@
     std::vector<coordination::control_event> events;
 };
 
-/// \brief Decodes `GET /v1/config?after=…`. An entry that is malformed fails the whole read, so
-/// that a half-read configuration never comes into force; fails with `invalid_request`.
+/// \brief Decodes `GET /v1/config?after=…`. A malformed entry fails the whole read, so
+/// that a partial configuration never takes effect; fails with `invalid_request`.
 [[nodiscard]] state::result<configuration_changes> decode_configuration(std::string_view body);
 
-/// \brief Decodes one value, as the service gives it or as a peer passes it on: `text` is the
+/// \brief Decodes one value, as received from the service or from a peer: `text` is the
 /// value's JSON, `key` one of `switch`, `customers`, `operators`, `presets/<name>`. Returns no
 /// event for a key that is none of these; fails with `invalid_request`.
 [[nodiscard]] state::result<std::vector<coordination::control_event>>
--- a/include/plumdale/protocol/raw_event_splitter.hpp
+++ b/include/plumdale/protocol/raw_event_splitter.hpp
@@ -6,20 +6,20 @@
 #include <string_view>
 
 /// \file
-/// \brief Cuts a stream of server-sent events into whole events.
+/// \brief Splits a stream of server-sent events into complete events.
 
 namespace plumdale::protocol
 {
 
-/// \brief One whole event as it was sent, with its empty line.
+/// \brief One complete event as it was sent, with the empty line that ends it.
 struct raw_event
 {
     std::string text;
-    /// \brief Its id, when it has a numeric one.
+    /// \brief The event's id, if it has a numeric one.
     std::optional<std::uint64_t> id;
 };
 
-/// \brief Collects bytes and hands out whole events; a torn one stays behind.
+/// \brief Buffers bytes and returns complete events; an incomplete event stays in the buffer.
 ///
 /// Example:
 /// \code
@@ -31,9 +31,9 @@
 {
 public:
     void append(std::string_view bytes);
-    /// \brief Returns the next whole event, or none.
+    /// \brief Returns the next complete event, or none.
     [[nodiscard]] std::optional<raw_event> next();
-    /// \brief Returns how many bytes of an unfinished event are held.
+    /// \brief Returns how many bytes of an unfinished event are buffered.
     [[nodiscard]] std::size_t buffered_bytes() const noexcept
     {
         return buffer_.size() - begin_;
--- a/include/plumdale/protocol/settings.hpp
+++ b/include/plumdale/protocol/settings.hpp
@@ -14,7 +14,7 @@
 namespace plumdale::protocol
 {
 
-/// \brief One thing wrong with a settings file.
+/// \brief One error in a settings file.
 struct settings_error
 {
     std::string pointer; ///< JSON pointer to the place.
@@ -22,18 +22,18 @@
     std::string allowed;
 };
 
-/// \brief Everything that `plumdaled` is told.
+/// \brief Settings of `plumdaled`.
 struct daemon_settings
 {
     coordination::node_settings node;
     std::string zone;
-    state::endpoint callers;  ///< Where callers and operators are heard.
+    state::endpoint callers;  ///< Address to listen on for callers and operators.
     state::endpoint platform; ///< The platform's HTTP interface.
     std::string operator_key_sha256;
     std::uint32_t connection_limit = 10'000;
     std::uint32_t header_limit = 16 * 1024;
     std::uint32_t body_limit = 1024 * 1024;
-    /// \brief Bytes waiting for one caller above which its upstream is not read.
+    /// \brief Unsent bytes for one caller above which its upstream is not read.
     std::uint32_t caller_buffer = 16 * 1024;
     /// \brief How long a caller's connection may be idle between requests.
     state::duration idle_timeout = std::chrono::seconds{60};
--- a/src/protocol/admin_codec.cpp
+++ b/src/protocol/admin_codec.cpp
@@ -79,15 +79,15 @@
     }
     coordination::upstream_gauge const& gauge = *view.gauge;
     std::uint32_t const block = std::max<std::uint32_t>(gauge.block_tokens.load(), 1);
-    // The last horizon point is the furthest ahead: what admission looks at.
-    std::int64_t const own = gauge.projected.back().load() - gauge.held_tokens.load();
-    std::int64_t const growth = std::max<std::int64_t>(own, 0) / block;
+    // The last horizon point is the furthest ahead; admission uses this one.
+    std::int64_t const growth_tokens = gauge.projected.back().load() - gauge.held_tokens.load();
+    std::int64_t const growth_blocks = std::max<std::int64_t>(growth_tokens, 0) / block;
     object["running"] = gauge.running.load();
     object["waiting"] = gauge.waiting.load();
     object["preemptions"] = gauge.preemptions.load();
     object["blocks_total"] = gauge.blocks_total.load();
     object["blocks_used"] = gauge.blocks_used.load();
-    object["blocks_projected"] = gauge.blocks_used.load() + growth;
+    object["blocks_projected"] = gauge.blocks_used.load() + growth_blocks;
     object["in_flight"] = gauge.in_flight.load();
     return object;
 }
@@ -121,7 +121,7 @@
     {switch_outcome::not_ready, state::error_kind::not_ready},
 }};
 
-// Returns the row of a switch that did not go through; null for one that was accepted.
+// Returns the error of a switch that was not accepted; null for an accepted one.
 state::error_answer const* error_of(switch_outcome outcome) noexcept
 {
     for (outcome_row const& row : outcome_rows)
--- a/src/protocol/caller_codec.cpp
+++ b/src/protocol/caller_codec.cpp
@@ -22,7 +22,7 @@
 constexpr std::string_view generations_path = "/v1/generations";
 constexpr std::string_view services_path = "/v1/services/";
 constexpr std::uint32_t characters_per_token = 4;
-constexpr std::size_t prefix_block_characters = 64; // characters, 16 tokens
+constexpr std::size_t prefix_block_characters = 64; // 16 tokens
 constexpr std::size_t max_prefix_blocks = 32;
 constexpr std::uint32_t token_limit = 1'000'000;
 
@@ -38,8 +38,7 @@
     return error == std::errc{} && end == text.data() + text.size();
 }
 
-// -- headers
-// ---------------------------------------------------------------------------------------
+// -- headers -----------------------------------------------------------------------------------
 
 result<void> read_identity(http_request_view const& message, request& into)
 {
@@ -129,8 +128,7 @@
     return read_deadline(message, now, into);
 }
 
-// -- bodies
-// ----------------------------------------------------------------------------------------
+// -- bodies ------------------------------------------------------------------------------------
 
 result<std::string> prompt_of_messages(boost::json::value const& messages)
 {
@@ -217,8 +215,7 @@
     return boost::outcome_v2::success();
 }
 
-// -- targets
-// ---------------------------------------------------------------------------------------
+// -- targets -----------------------------------------------------------------------------------
 
 result<void> read_generation_target(http_request_view const& message, request& into)
 {
--- a/src/protocol/digest.cpp
+++ b/src/protocol/digest.cpp
@@ -20,7 +20,7 @@
                                         std::string_view customer, std::string_view body)
 {
     state::sha256_digest const content = sha256(body);
-    // No part can hold the separator, so two requests never give the same text.
+    // No part can contain the separator, so two requests never give the same text.
     std::string text;
     text.append(host).append(1, '\n').append(path).append(1, '\n').append(customer).append(1, '\n');
     text.append(content.begin(), content.end());
--- a/src/protocol/endpoint_text.cpp
+++ b/src/protocol/endpoint_text.cpp
@@ -23,9 +23,9 @@
     return value;
 }
 
-bool take_character(std::string_view& text, char wanted)
+bool take_character(std::string_view& text, char expected)
 {
-    if (text.empty() || text.front() != wanted)
+    if (text.empty() || text.front() != expected)
     {
         return false;
     }
--- a/src/protocol/engine_codec.cpp
+++ b/src/protocol/engine_codec.cpp
@@ -23,7 +23,7 @@
     return kind == state::work_kind::draft ? "draft" : "question";
 }
 
-// Returns a member that must be there, as a number of 32 bits.
+// Returns a required member as a number of 32 bits.
 state::result<std::uint32_t> required_number(boost::json::object const& object,
                                              std::string_view name)
 {
--- a/src/protocol/error_budget_text.cpp
+++ b/src/protocol/error_budget_text.cpp
@@ -62,7 +62,8 @@
     return std::chrono::duration_cast<std::chrono::seconds>(time).count();
 }
 
-// Label values come from the configuration, so they may hold what the text format reserves.
+// Label values come from the configuration, so they may contain characters that the format
+// reserves.
 std::string escaped(std::string const& value)
 {
     std::string out;
--- a/src/protocol/fleet_codec.cpp
+++ b/src/protocol/fleet_codec.cpp
@@ -225,7 +225,7 @@
     return {bytes.begin(), bytes.size()};
 }
 
-// Text of peers reaches Cap'n Proto's checks only here; what they refuse comes as an exception.
+// Cap'n Proto checks a peer's bytes only here; it reports malformed ones by an exception.
 template <class Root, class Value, class Read>
 state::result<Value> unpacked(std::string_view bytes, Read const& read_root)
 {
@@ -265,7 +265,7 @@
             to.setBeat(update.heartbeat);
             to.setSpread(update.spread);
             to.setPassesOn(update.has_range);
-            // Left out where they are not needed: most messages are passed on by nobody.
+            // Omitted where not needed: most messages are not passed on.
             if (update.has_range)
             {
                 to.setOrigin(update.range.origin.value);
@@ -372,15 +372,15 @@
 state::result<coordination::bucket_digests> decode_bucket_digests(std::string_view body)
 {
     coordination::bucket_digests digests{};
-    constexpr std::size_t each = digest_bits / bits_per_byte;
-    if (body.size() != digests.size() * each)
+    constexpr std::size_t digest_bytes = digest_bits / bits_per_byte;
+    if (body.size() != digests.size() * digest_bytes)
     {
         return malformed("digests of another length");
     }
     for (std::size_t i = 0; i < body.size(); ++i)
     {
         auto const byte = static_cast<std::uint64_t>(static_cast<unsigned char>(body[i]));
-        digests[i / each] |= byte << (bits_per_byte * (i % each));
+        digests[i / digest_bytes] |= byte << (bits_per_byte * (i % digest_bytes));
     }
     return digests;
 }
--- a/src/protocol/generation_text.cpp
+++ b/src/protocol/generation_text.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t mac_digits = 32;
 
-// Takes what stands before the separator off the front of `text`.
+// Returns the field before the separator and removes both from the front of `text`.
 std::optional<std::string_view> take_field(std::string_view& text, char separator)
 {
     std::size_t const end = text.find(separator);
--- a/src/protocol/http_reader.cpp
+++ b/src/protocol/http_reader.cpp
@@ -21,7 +21,7 @@
     return {view.data(), view.size()};
 }
 
-/// \brief What both parsers collect.
+/// \brief Head and body as collected by either parser.
 struct parsed_message
 {
     message_head head;
--- a/src/protocol/link_codec.cpp
+++ b/src/protocol/link_codec.cpp
@@ -198,7 +198,7 @@
     into.owner = state::node_id{from.getOwner()};
     into.incarnation_number = state::incarnation{from.getUptime()};
     into.sequence = from.getSequence();
-    // A default identity has no MAC of its own on the wire.
+    // An empty identity may come without a MAC.
     return read_bytes(from.getMac(), into.mac) || (!into && from.getMac().size() == 0);
 }
 
@@ -371,12 +371,12 @@
 
 state::result<link_frame> decode_frame(std::string_view bytes, state::time_point now)
 {
-    constexpr std::size_t word = sizeof(capnp::word);
-    if (bytes.empty() || bytes.size() % word != 0)
+    constexpr std::size_t word_bytes = sizeof(capnp::word);
+    if (bytes.empty() || bytes.size() % word_bytes != 0)
     {
         return malformed("length");
     }
-    auto words = kj::heapArray<capnp::word>(bytes.size() / word);
+    auto words = kj::heapArray<capnp::word>(bytes.size() / word_bytes);
     std::memcpy(words.begin(), bytes.data(), bytes.size());
     link_frame frame;
     try
--- a/src/protocol/object_reader.hpp
+++ b/src/protocol/object_reader.hpp
@@ -20,7 +20,7 @@
 namespace plumdale::protocol
 {
 
-/// \brief Reads members of one object and notes what is wrong with them.
+/// \brief Reads members of one object and records their errors.
 class object_reader
 {
 public:
@@ -169,7 +169,7 @@
             {"/" + std::string{name}, boost::json::serialize(found), std::string{allowed}});
     }
 
-    /// \brief Notes each key that no call asked for, with the nearest known name.
+    /// \brief Records an error for each key that was not read, with the nearest known key.
     void reject_unknown_keys()
     {
         for (auto const& member : object_)
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -157,7 +157,7 @@
     }
 }
 
-// Bounds come first: a list of elements without size may claim any length.
+// Lengths are checked first: a list of elements without size may claim any length.
 [[nodiscard]] bool is_bounded(wire::PeerMessage::Reader from)
 {
     return from.getMembers().size() <= peer_message::max_members &&
@@ -235,7 +235,7 @@
         return malformed("wrong size of a peer message");
     }
     std::span<char const> const text = datagram.subspan(datagram_mac_bytes);
-    // Before anything is parsed: whoever does not hold the fleet key reaches no parser.
+    // The MAC is checked before parsing, so that a sender without the fleet key reaches no parser.
     bool const is_authentic = has_valid_mac(datagram, fleet_key, accepted_keys);
     if (!is_authentic && safeguards.has(coordination::safeguard::datagram_mac))
     {
--- a/src/protocol/platform_codec.cpp
+++ b/src/protocol/platform_codec.cpp
@@ -75,8 +75,7 @@
         number_or(object, name, static_cast<std::uint64_t>(default_ms.count()), max_duration_ms)};
 }
 
-// -- presets
-// ---------------------------------------------------------------------------------------
+// -- presets -----------------------------------------------------------------------------------
 
 result<state::engine_role> role_of(boost::json::object const& object)
 {
@@ -140,8 +139,7 @@
     return preset;
 }
 
-// -- customers
-// -------------------------------------------------------------------------------------
+// -- customers ---------------------------------------------------------------------------------
 
 result<state::customer> customer_of(boost::json::value const& value)
 {
--- a/src/protocol/raw_event_splitter.cpp
+++ b/src/protocol/raw_event_splitter.cpp
@@ -10,15 +10,14 @@
 
 constexpr std::string_view id_field = "id:";
 
-// Returns the length of the first event with the empty line that ends it, or 0.
+// Returns the length of the first event with the empty line that ends it; 0 if incomplete.
 std::size_t event_length(std::string_view text)
 {
-    std::size_t const plain = text.find("\n\n");
-    std::size_t const with_returns = text.find("\r\n\r\n");
-    std::size_t const end_plain = plain == std::string_view::npos ? plain : plain + 2;
-    std::size_t const end_returns =
-        with_returns == std::string_view::npos ? with_returns : with_returns + 4;
-    std::size_t const end = std::min(end_plain, end_returns);
+    std::size_t const lf = text.find("\n\n");
+    std::size_t const crlf = text.find("\r\n\r\n");
+    std::size_t const lf_end = lf == std::string_view::npos ? lf : lf + 2;
+    std::size_t const crlf_end = crlf == std::string_view::npos ? crlf : crlf + 4;
+    std::size_t const end = std::min(lf_end, crlf_end);
     return end == std::string_view::npos ? 0 : end;
 }
 
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint64_t hour_ms = 3'600'000;
 constexpr std::uint64_t day_ms = 24 * hour_ms;
 
-/// \brief A duration of the decisions, with its bounds.
+/// \brief A duration in `node_settings`, with its key and its bounds in milliseconds.
 struct duration_row
 {
     std::string_view name;
@@ -60,7 +60,7 @@
     {"pause_hold_ms", &node::pause_hold, 0, hour_ms},
 }};
 
-/// \brief A count of the decisions, with its bounds.
+/// \brief A count in `node_settings`, with its key and bounds.
 struct count_row
 {
     std::string_view name;
--- a/src/protocol/text_patch.cpp
+++ b/src/protocol/text_patch.cpp
@@ -15,8 +15,8 @@
 {
 
 constexpr int compression_level = 3;
-// The window has to reach back over the whole base; its bounds are the library's least and what a
-// configuration of the greatest size needs.
+// The window has to span the whole base. Its bounds are the library's minimum and what a
+// configuration of maximum size needs.
 constexpr int min_window_log = 10;
 constexpr int max_window_log = 25;
 
