--- a/tests/protocol/test_caller_codec.cpp
+++ b/tests/protocol/test_caller_codec.cpp
@@ -70,7 +70,7 @@
     CHECK(decoded.value().streamed);
 }
 
-TEST_CASE("a deadline counts from the arrival", "[caller_codec]")
+TEST_CASE("a deadline is counted from the request's arrival", "[caller_codec]")
 {
     http_request_view message = completion(prompt_body);
     message.deadline_ms = "250";
@@ -78,7 +78,7 @@
           start + std::chrono::milliseconds{250});
 }
 
-TEST_CASE("an attach takes up after the last event", "[caller_codec]")
+TEST_CASE("an attach resumes after the last event", "[caller_codec]")
 {
     std::string const target = "/v1/generations/" + identity();
     std::string const last = identity() + "@00000000000000ff/41";
@@ -94,7 +94,7 @@
     CHECK(decoded.value().upstream_hint == state::upstream_id{255});
 }
 
-TEST_CASE("the same key of two customers is two keys", "[caller_codec]")
+TEST_CASE("the same idempotency key of two customers gives two ids", "[caller_codec]")
 {
     http_request_view message = completion(prompt_body);
     message.idempotency_key = "order-1";
@@ -103,7 +103,7 @@
     CHECK(decode_request(message, start).value().key != one);
 }
 
-TEST_CASE("bad bodies are refused as invalid", "[caller_codec]")
+TEST_CASE("malformed bodies are refused as invalid requests", "[caller_codec]")
 {
     std::string const deep = R"({"model":"m","prompt":)" + std::string(100, '[') + "}";
     std::array<std::string_view, 13> const bodies{"",
@@ -126,7 +126,7 @@
     }
 }
 
-TEST_CASE("bad headers and paths are refused by their kind", "[caller_codec]")
+TEST_CASE("malformed headers and paths are refused with the matching error kind", "[caller_codec]")
 {
     struct row
     {
@@ -157,7 +157,7 @@
     }
 }
 
-TEST_CASE("an error object carries its claim, and a time to come back where there is one",
+TEST_CASE("an error object contains its claim, and the retry time if there is one",
           "[caller_codec]")
 {
     std::string const busy =
@@ -169,15 +169,15 @@
     CHECK(broken.find(R"("next_index":5)") != std::string::npos);
 }
 
-TEST_CASE("a token's text stays one data line", "[caller_codec]")
+TEST_CASE("a token's text stays on one data line", "[caller_codec]")
 {
     std::string const event = token_event({{{1}, {2}, 3, {}}, {9}, 0}, "a\n\ndata: b\"");
     CHECK(event.find("\n\n") == event.size() - 2);
     CHECK(event.find(R"(a\n\ndata: b\")") != std::string::npos);
 }
 
-// A caller sends damaged requests. Each is decoded or refused; none ends the process, which the
-// address sanitizer in CI would also show as an error.
+// Guards against damaged requests of a caller that end the process: each is decoded or refused.
+// The address sanitizer in CI also shows memory errors.
 TEST_CASE("damaged requests are decoded or refused", "[caller_codec][fuzz]")
 {
     for (std::uint64_t seed = 1; seed <= 3000; ++seed)
--- a/tests/protocol/test_digest.cpp
+++ b/tests/protocol/test_digest.cpp
@@ -8,7 +8,8 @@
 using namespace plumdale;
 using namespace plumdale::protocol;
 
-TEST_CASE("attempts of one request have one digest, other requests have others", "[digest]")
+TEST_CASE("attempts of one request have the same digest, other requests have different ones",
+          "[digest]")
 {
     state::request_digest const first = digest_of_request("a.example", "/q/1", "customer", "body");
     CHECK(first);
@@ -19,7 +20,7 @@
         digest_of_request("a.example", "/q/1", "another", "body"),
         digest_of_request("a.example", "/q/1", "customer", "bodies"),
         digest_of_request("a.example", "/q/1", "", ""),
-        // A letter that moves from one part to the next makes another request.
+        // A character that moves from one part to the next gives a different request.
         digest_of_request("a.example/", "q/1", "customer", "body")};
     CHECK(all.size() == 7);
 }
--- a/tests/protocol/test_engine_codec.cpp
+++ b/tests/protocol/test_engine_codec.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("tokens and ends are told apart", "[engine_codec]")
+TEST_CASE("token events and done events are distinguished", "[engine_codec]")
 {
     auto const token = decode_engine_event(token_line());
     REQUIRE(token);
@@ -51,7 +51,7 @@
     CHECK_FALSE(std::get<engine_done>(done.value()).generation);
 }
 
-TEST_CASE("garbage from an engine is a fault of the upstream", "[engine_codec]")
+TEST_CASE("malformed events of an engine are upstream faults", "[engine_codec]")
 {
     std::array<std::string_view, 8> const events{"",
                                                  "{",
@@ -70,7 +70,7 @@
     }
 }
 
-TEST_CASE("a load report is read whole or not at all", "[engine_codec]")
+TEST_CASE("a load report is decoded completely or refused", "[engine_codec]")
 {
     auto const report = decode_load(load_body);
     REQUIRE(report);
@@ -79,7 +79,7 @@
     CHECK_FALSE(decode_load(R"({"blocks_total":100})"));
 }
 
-TEST_CASE("events split at any byte come out the same", "[engine_codec]")
+TEST_CASE("events split at any byte give the same data lines", "[engine_codec]")
 {
     std::string const bytes = ": beat\n\ndata: {\"a\":1}\n\ndata:{\"b\":2}\n\n";
     std::vector<std::string> const whole{" {\"a\":1}", "{\"b\":2}"};
@@ -97,9 +97,9 @@
     }
 }
 
-// An engine sends bytes without an end of line. The entry VM's memory would grow without bound; the
-// splitter refuses at its limit and the exchange ends as invalid.
-TEST_CASE("a line without an end is refused at the limit", "[engine_codec]")
+// Guards against an engine that sends bytes without a line end: the entry VM's memory would grow
+// without bound. The splitter refuses at its limit and the exchange ends as invalid.
+TEST_CASE("a line without a line end is refused at the limit", "[engine_codec]")
 {
     event_data_splitter splitter;
     std::string const piece(4096, 'a');
--- a/tests/protocol/test_error_budget_text.cpp
+++ b/tests/protocol/test_error_budget_text.cpp
@@ -31,7 +31,8 @@
 
 } // namespace
 
-TEST_CASE("the burn report's JSON holds each objective and window", "[burn]")
+TEST_CASE("the error budget report's JSON contains each objective and window",
+          "[error_budget_text]")
 {
     coordination::error_budget_settings const settings;
     auto const shown = boost::json::parse(error_budget_json(sample(settings), settings, names()));
@@ -45,7 +46,7 @@
     CHECK(shown.at("windows_s").at(3).to_number<int>() == 21'600);
 }
 
-TEST_CASE("label values of metrics are escaped", "[burn]")
+TEST_CASE("label values of metrics are escaped", "[error_budget_text]")
 {
     coordination::error_budget_settings const settings;
     std::string const text = error_budget_metrics(sample(settings), settings, names());
--- a/tests/protocol/test_fleet_codec.cpp
+++ b/tests/protocol/test_fleet_codec.cpp
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("news comes out as it went in", "[fleet_codec]")
+TEST_CASE("a fleet update is unchanged by a round trip", "[fleet_codec]")
 {
     std::string const datagram = encode(update(), key);
     auto const read = decode_fleet_update(datagram, key);
@@ -85,7 +85,7 @@
     CHECK(read.value().evidence[0].age == std::chrono::seconds{17});
 }
 
-TEST_CASE("full news fits into a datagram", "[fleet_codec]")
+TEST_CASE("a fleet update of maximum size fits into a datagram", "[fleet_codec]")
 {
     fleet_update full = update();
     full.loads.assign(fleet_update::max_loads,
@@ -104,14 +104,14 @@
     full = update();
     full.loads.assign(fleet_update::max_loads,
                       {state::member_key{0x123456789abcdef0}, 24, 30'000, 34'000, 9'000});
-    // Orders go along with rows of load alone.
+    // Evacuation orders are only sent together with load rows.
     full.members.clear();
     full.evacuations = {
         1'000'000, {evacuation_orders::capacity, {state::zone_id{0x123456789abcdef0}, 999'999}}};
     CHECK(encode(full, key).size() < 1'400);
 }
 
-TEST_CASE("a directory comes out as it went in", "[fleet_codec]")
+TEST_CASE("a directory copy is unchanged by a round trip", "[fleet_codec]")
 {
     directory_copy copy;
     copy.revision = 99;
@@ -125,7 +125,8 @@
     CHECK(read.value().evacuations.in_force.size() == 1);
 }
 
-TEST_CASE("what was made without the fleet key, or damaged, is refused", "[fleet_codec][seeds]")
+TEST_CASE("a datagram that is damaged or made without the fleet key is refused",
+          "[fleet_codec][seeds]")
 {
     std::string const datagram = encode(update(), key);
     CHECK_FALSE(decode_fleet_update(datagram, "another sixteen!"));
@@ -137,12 +138,12 @@
         {
             CHECK_FALSE(decode_fleet_update(damaged, key));
         }
-        // The directory has no MAC: it must refuse or read, and not fail otherwise.
+        // A directory copy has no MAC: the decoder must refuse or read it and not fail otherwise.
         static_cast<void>(decode_directory_copy(damaged));
     }
 }
 
-TEST_CASE("digests come out as they went in, and nothing else does", "[fleet_codec]")
+TEST_CASE("digests are unchanged by a round trip, and other lengths are refused", "[fleet_codec]")
 {
     bucket_digests digests{};
     for (std::size_t i = 0; i < digests.size(); ++i)
--- a/tests/protocol/test_forward_settings.cpp
+++ b/tests/protocol/test_forward_settings.cpp
@@ -42,18 +42,19 @@
     CHECK(settings.load_news_bytes_per_second == 30'000.0);
     CHECK(settings.repeats.ratio == 0.2);
     CHECK(settings.repeats.window == 10s);
-    // Seeds are named by another port of theirs; all VMs hear datagrams on the same one.
+    // The port of a seed is replaced: all VMs receive datagrams on the same port.
     CHECK(settings.seeds == std::vector{state::endpoint{0x0a000002, 7200}});
 }
 
-TEST_CASE("only files that say so are those of a forwarding entry VM", "[forward_settings]")
+TEST_CASE("only files with mode forward are settings of a forwarding entry VM",
+          "[forward_settings]")
 {
     CHECK(is_forward_settings(settings_with("")));
     CHECK_FALSE(is_forward_settings(R"({"zone":"a"})"));
     CHECK_FALSE(is_forward_settings("not json"));
 }
 
-TEST_CASE("each wrong setting is named", "[forward_settings]")
+TEST_CASE("each invalid setting is reported by its key", "[forward_settings]")
 {
     CHECK(has_error_at(settings_with(R"(,"grace_s":"8")"), "/grace_s"));
     CHECK(has_error_at(settings_with(R"(,"grace_s":-1)"), "/grace_s"));
--- a/tests/protocol/test_generation_text.cpp
+++ b/tests/protocol/test_generation_text.cpp
@@ -5,7 +5,7 @@
 using namespace plumdale;
 using namespace plumdale::protocol;
 
-TEST_CASE("identities and event ids come back from their text", "[generation_text]")
+TEST_CASE("identities and event ids are unchanged by a round trip", "[generation_text]")
 {
     state::generation_id const id{{0xabcdU}, {42}, 7, {1, 2, 3, 0xff}};
     CHECK(parse_generation_id(to_text(id)) == id);
@@ -16,7 +16,7 @@
     CHECK(parsed->index == 12);
 }
 
-TEST_CASE("malformed identities are turned away", "[generation_text]")
+TEST_CASE("malformed identities are refused", "[generation_text]")
 {
     for (char const* text : {"", "g-", "g-1-2-3", "g-1-2-3-zz", "x-1-2-3-00", "g-1--3-00",
                              "g-11111111111111111-2-3-00112233445566778899aabbccddeeff"})
--- a/tests/protocol/test_http_reader.cpp
+++ b/tests/protocol/test_http_reader.cpp
@@ -21,7 +21,7 @@
     return reader;
 }
 
-// The same in pieces of every size: what arrives together must not matter.
+// Appends the text in pieces of `size` bytes: the result must not depend on how bytes arrive.
 http_reader read_in_pieces(std::string_view text, std::size_t size)
 {
     http_reader reader{message_role::request, bounds};
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a request with a length is whole after its body", "[http_reader]")
+TEST_CASE("a request with a length is complete after its body", "[http_reader]")
 {
     std::string const text =
         "POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhelloGET";
@@ -49,7 +49,7 @@
     }
 }
 
-TEST_CASE("a chunked body is put together", "[http_reader]")
+TEST_CASE("a chunked body is reassembled", "[http_reader]")
 {
     http_reader reader = read("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: "
                               "chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
@@ -58,9 +58,9 @@
     CHECK(reader.take_body() == "abcde");
 }
 
-// A caller hides a second request in the body of its first, in a way that the next reader sees
-// differently. The upstream would run a call that nobody was charged or checked for.
-TEST_CASE("a message whose end two readers could see differently is refused", "[http_reader]")
+// Guards against request smuggling: a caller hides a second request in the body of its first, where
+// only the next reader sees it. The upstream would run a call that was not checked or charged.
+TEST_CASE("a message whose end is ambiguous is refused", "[http_reader]")
 {
     for (char const* const fields :
          {"Content-Length: 5\r\nContent-Length: 6\r\n",
@@ -104,7 +104,7 @@
     CHECK(body.is_too_large());
 }
 
-TEST_CASE("an answer without a length ends with its connection only", "[http_reader]")
+TEST_CASE("an answer without a length ends only with its connection", "[http_reader]")
 {
     http_reader reader = read("HTTP/1.1 200 OK\r\n\r\nabc", message_role::answer);
     CHECK(reader.framing() == body_framing::until_close);
@@ -113,14 +113,14 @@
     CHECK(reader.take_body() == "abc");
 }
 
-TEST_CASE("an answer that ends short of its length does not become whole", "[http_reader]")
+TEST_CASE("an answer that ends short of its length does not become complete", "[http_reader]")
 {
     http_reader reader =
         read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", message_role::answer);
     CHECK(reader.append_eof() == read_progress::body);
 }
 
-TEST_CASE("damaged messages neither crash nor grow", "[http_reader][seeds]")
+TEST_CASE("damaged messages neither crash the reader nor grow its buffer", "[http_reader][seeds]")
 {
     std::string const valid =
         "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
--- a/tests/protocol/test_link_codec.cpp
+++ b/tests/protocol/test_link_codec.cpp
@@ -65,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE("a request arrives over a link as it was sent")
+TEST_CASE("a request is unchanged by a round trip over a link")
 {
     auto const later = start + std::chrono::seconds{50};
     auto const frame = decode_frame(encode_frame({1, sample_request()}, start), later);
@@ -90,7 +90,7 @@
     CHECK(got.prefix == sent.prefix);
     CHECK(*got.body == *sent.body);
     CHECK(got.path == sent.path);
-    // The clocks of two VMs have nothing in common: what travels is the time that is left.
+    // The clocks of two VMs are unrelated: the frame contains the time that is left.
     CHECK(got.deadline == later + std::chrono::seconds{5});
 }
 
@@ -107,10 +107,10 @@
     }
 }
 
-// A peer's frame is cut short or has bits turned over on its way past the MAC (a fault of ours, or
-// a peer of another version). The process goes on: such a frame either fails as malformed or reads
-// as some well-formed frame, and never as anything out of bounds.
-TEST_CASE("truncated and corrupted frames never do harm")
+// Guards against frames that are truncated or corrupted although their MAC is valid, because of a
+// fault of the product or a peer of another version. Each is refused as malformed or decoded as
+// some well-formed frame, without reads out of bounds.
+TEST_CASE("truncated and corrupted frames are decoded or refused")
 {
     std::minstd_rand random{20261202};
     std::size_t malformed = 0;
@@ -139,7 +139,7 @@
     CHECK(malformed > 1000);
 }
 
-TEST_CASE("a MAC fits one frame at one place of one link in one direction")
+TEST_CASE("a MAC is valid for one frame at one position of one link in one direction")
 {
     using protocol::link_authenticator;
     using direction = link_authenticator::direction;
@@ -152,8 +152,8 @@
     link_authenticator same{"0123456789abcdef", a, b, direction::from_initiator};
     CHECK(protocol::macs_equal(first, same.next_mac("frame")));
     CHECK_FALSE(protocol::macs_equal(second, same.next_mac("other")));
-    link_authenticator other_way{"0123456789abcdef", a, b, direction::from_responder};
-    CHECK_FALSE(protocol::macs_equal(first, other_way.next_mac("frame")));
+    link_authenticator other_direction{"0123456789abcdef", a, b, direction::from_responder};
+    CHECK_FALSE(protocol::macs_equal(first, other_direction.next_mac("frame")));
     link_authenticator other_link{"0123456789abcdef", a, {3}, direction::from_initiator};
     CHECK_FALSE(protocol::macs_equal(first, other_link.next_mac("frame")));
     link_authenticator other_key{"0123456789abcdeg", a, b, direction::from_initiator};
--- a/tests/protocol/test_peer_codec.cpp
+++ b/tests/protocol/test_peer_codec.cpp
@@ -66,7 +66,7 @@
     return message;
 }
 
-/// \brief Puts a right MAC in front of any words, as a peer that holds the key but is faulty would.
+/// \brief Puts a valid MAC in front of any words, as a faulty peer that holds the key would.
 [[nodiscard]] std::string with_valid_mac(std::string datagram)
 {
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
@@ -80,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("a peer message is read as it was written, within one datagram", "[peer_codec]")
+TEST_CASE("a peer message is unchanged by a round trip and fits into one datagram", "[peer_codec]")
 {
     std::mt19937_64 random{1};
     for (int i = 0; i < 500; ++i)
@@ -95,7 +95,7 @@
 }
 
 // While the fleet's key is changed by a rolling restart, peers sign with either key.
-TEST_CASE("a datagram by an accepted key is read", "[peer_codec]")
+TEST_CASE("a datagram that is signed by an accepted key is read", "[peer_codec]")
 {
     std::mt19937_64 random{2};
     std::string const datagram = encode(random_message(random, false), "the key from before");
@@ -104,9 +104,9 @@
     CHECK(decode_peer_message(datagram, key, accepted_keys).has_value());
 }
 
-// A datagram changed on its way, cut short or made with another key. The receiver drops it, goes
-// on, and takes nothing from it: the MAC is checked before anything is parsed.
-TEST_CASE("a datagram that was changed is refused", "[peer_codec]")
+// Guards against datagrams that were changed in transit, truncated or made with another key: the
+// receiver drops them unparsed, as it checks the MAC first.
+TEST_CASE("a changed or truncated datagram is refused", "[peer_codec]")
 {
     std::mt19937_64 random{2};
     for (int i = 0; i < 5'000; ++i)
@@ -126,9 +126,9 @@
     }
 }
 
-// A peer that holds the key but has a fault sends words that are no message. The parser must refuse
-// or read them within bounds; run under the address sanitizer this shows any read beyond them.
-TEST_CASE("malformed words with a right MAC do no harm", "[peer_codec]")
+// Guards against a faulty peer that holds the key and sends malformed words: the parser must refuse
+// or read them within bounds. The address sanitizer shows any read beyond them.
+TEST_CASE("malformed words with a valid MAC are decoded or refused", "[peer_codec]")
 {
     std::mt19937_64 random{3};
     std::size_t refused = 0;
--- a/tests/protocol/test_platform_codec.cpp
+++ b/tests/protocol/test_platform_codec.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("changes come as typed events", "[platform_codec]")
+TEST_CASE("configuration changes are decoded as typed events", "[platform_codec]")
 {
     auto const changes = decode_configuration(configuration(customer(digest)));
     REQUIRE(changes);
@@ -51,16 +51,17 @@
     CHECK(preset.content.assignments[0].role == state::engine_role::drafts);
 }
 
-// The service hands out a value with one bad customer. Taking the good ones would put a
-// configuration into force that nobody published, so the whole read fails and the old one stays.
-TEST_CASE("one bad entry fails the whole read", "[platform_codec]")
+// Guards against a partly applied configuration: the service returns a value with one invalid
+// customer. Applying the valid ones would put a configuration into force that was never published,
+// so the whole read fails and the old configuration stays.
+TEST_CASE("one invalid entry fails the whole read", "[platform_codec]")
 {
     CHECK_FALSE(decode_configuration(configuration(customer("abc"))));
     CHECK_FALSE(decode_configuration(configuration(customer(digest) + ",7")));
     CHECK_FALSE(decode_configuration(R"({"revision":9})"));
 }
 
-TEST_CASE("the list of VMs names upstreams by their endpoint", "[platform_codec]")
+TEST_CASE("the list of VMs identifies upstreams by their endpoint", "[platform_codec]")
 {
     auto const list = decode_vm_list(vm_list);
     REQUIRE(list);
@@ -73,7 +74,7 @@
     CHECK_FALSE(decode_vm_list(R"({"upstreams":[{"address":"somewhere:1"}]})"));
 }
 
-TEST_CASE("endpoints come back from their text, and host names are turned away", "[endpoint_text]")
+TEST_CASE("endpoints are unchanged by a round trip, and host names are refused", "[endpoint_text]")
 {
     CHECK(to_text(parse_endpoint("10.1.2.3:80").value()) == "10.1.2.3:80");
     for (std::string_view const text : {"", "a:1", "1.2.3:4", "1.2.3.4", "1.2.3.4:", "1.2.3.256:1",
--- a/tests/protocol/test_raw_event_splitter.cpp
+++ b/tests/protocol/test_raw_event_splitter.cpp
@@ -6,7 +6,7 @@
 
 using plumdale::protocol::raw_event_splitter;
 
-TEST_CASE("whole events come out as they were sent, with their ids", "[raw_event_splitter]")
+TEST_CASE("complete events are returned as they were sent, with their ids", "[raw_event_splitter]")
 {
     std::string const text = "id: 1\ndata: a\n\nversion: 3\nid:2\ndata: b\ndata: c\n\n";
     for (std::size_t size = 1; size <= text.size(); ++size)
@@ -30,9 +30,9 @@
     }
 }
 
-// An upstream crashes in the middle of an event. What it sent of the event must not reach the
-// caller: the upstream that goes on sends that event whole.
-TEST_CASE("a torn event stays behind", "[raw_event_splitter]")
+// Guards against a partial event reaching the caller: if an upstream crashes in the middle of an
+// event, the upstream that resumes the generation sends that event again.
+TEST_CASE("an incomplete event stays in the buffer", "[raw_event_splitter]")
 {
     raw_event_splitter events;
     events.append("id: 7\ndata: a\n\nid: 8\nda");
--- a/tests/protocol/test_settings.cpp
+++ b/tests/protocol/test_settings.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("a short file is enough", "[settings]")
+TEST_CASE("a file with few optional keys is valid", "[settings]")
 {
     std::vector<settings_error> errors;
     daemon_settings const settings = decode_settings(settings_with(R"(,"threads":3)"), errors);
@@ -45,7 +45,7 @@
     CHECK(settings.node.self.datagrams.port == 7001);
 }
 
-TEST_CASE("every error of a file is told, with its place", "[settings]")
+TEST_CASE("every error of a file is reported with its JSON pointer", "[settings]")
 {
     auto const errors = errors_of(R"({"zone":5,"callers":"localhost:1","threads":0,)"
                                   R"("platform":"127.0.0.1:99999","fleet_key":"short"})");
@@ -65,7 +65,7 @@
     CHECK(errors[0].allowed.find("body_limit") != std::string::npos);
 }
 
-TEST_CASE("what is no object is one error", "[settings]")
+TEST_CASE("a file that is not an object gives one error", "[settings]")
 {
     for (std::string_view const text : {"", "{", "[]", "7"})
     {
--- a/tests/protocol/test_text_patch.cpp
+++ b/tests/protocol/test_text_patch.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("a text comes out of its patch", "[text_patch]")
+TEST_CASE("a text is restored from its patch", "[text_patch]")
 {
     for (std::size_t const routes : {std::size_t{0}, std::size_t{24}, std::size_t{11'000}})
     {
@@ -44,15 +44,15 @@
     }
 }
 
-// A configuration of 1,000 routes changes one of them. Over a link of 10 Mbit/s the whole text
-// takes a tenth of a second for each of 300 VMs, its change a datagram.
+// Guards against slow distribution: when one of 1,000 routes changes, the whole text takes a tenth
+// of a second over a link of 10 Mbit/s for each of 300 VMs, the change a datagram.
 TEST_CASE("a change of a large configuration fits into a datagram", "[text_patch][load]")
 {
     std::string const patch = make_patch(configuration(7, 1'000), configuration(9, 1'001));
     CHECK(patch.size() < coordination::configuration_offer::max_datagram_patch);
 }
 
-TEST_CASE("a patch of another base does not pass for the text", "[text_patch]")
+TEST_CASE("a patch of another base is refused or detected by the digest", "[text_patch]")
 {
     std::string const base = configuration(7, 50);
     std::string const text = configuration(9, 51);
@@ -60,14 +60,14 @@
     CHECK((!read || text_digest(read.value()) != text_digest(text)));
 }
 
-TEST_CASE("a text above the bound is refused before it is made", "[text_patch]")
+TEST_CASE("a text above the bound is refused before it is decompressed", "[text_patch]")
 {
     std::string const text(100'000, 'x');
     CHECK_FALSE(apply_patch({}, make_patch({}, text), text.size() - 1));
     CHECK_FALSE(apply_patch({}, {}, bound));
 }
 
-TEST_CASE("damaged patches are refused or seen by the digest", "[text_patch][seeds]")
+TEST_CASE("damaged patches are refused or detected by the digest", "[text_patch][seeds]")
 {
     std::string const base = configuration(7, 24);
     std::string const text = configuration(9, 24);
@@ -76,13 +76,13 @@
     {
         std::string const damaged = plumdale::test::mutate(patch, seed);
         auto const read = apply_patch(base, damaged, bound);
-        bool const is_seen =
+        bool const is_detected =
             !read || read.value() == text || text_digest(read.value()) != text_digest(text);
-        CHECK(is_seen);
+        CHECK(is_detected);
     }
 }
 
-TEST_CASE("an offer comes out as it went in, and only with the fleet's key", "[text_patch]")
+TEST_CASE("an offer is unchanged by a round trip, and needs the fleet key", "[text_patch]")
 {
     constexpr std::string_view key = "sixteen letters!";
     coordination::configuration_offer offer;
