--- a/include/plumdale/transport/forwarder.hpp
+++ b/include/plumdale/transport/forwarder.hpp
@@ -14,10 +14,10 @@
 namespace plumdale::transport
 {
 
-/// \brief Reads the settings file again; none when it can't be read or is invalid.
+/// \brief Reads the settings file again; returns none when it can't be read or is invalid.
 using settings_source = std::function<std::optional<protocol::forward_settings>()>;
 
-/// \brief Serves callers by a platform's dialect until SIGTERM has been seen through.
+/// \brief Serves callers in a platform's dialect until the shutdown after SIGTERM is complete.
 class forwarder
 {
 public:
@@ -29,7 +29,8 @@
 
     /// \brief Opens the sockets. Fails with `connection_failed` when an address is taken.
     [[nodiscard]] state::result<void> open();
-    /// \brief Serves; returns the number of calls that were cut at the end of the grace.
+    /// \brief Serves until shutdown; returns the number of calls cut off at the end of the grace
+    /// period.
     std::uint32_t run();
 
 private:
--- a/src/transport/answer_meter.hpp
+++ b/src/transport/answer_meter.hpp
@@ -10,17 +10,17 @@
 namespace plumdale::transport
 {
 
-/// \brief Feeds a worker's metrics and burn counts with one answer at a time.
+/// \brief Records one answer at a time in a worker's metrics and error budgets.
 class answer_meter
 {
 public:
     explicit answer_meter(worker_metrics& metrics) : metrics_{metrics} {}
 
-    /// \brief A request begins; what an earlier one left is forgotten.
+    /// \brief Starts measuring a request and discards the state of the previous one.
     void begin(coordination::error_budget_key key, bool counted, state::time_point now);
     void token(state::time_point now);
     void whole(state::time_point now);
-    /// \brief Refused before any token, or broken off after one.
+    /// \brief Records an answer that was refused before any token or broken off after one.
     void refused(state::error_kind kind, state::time_point now);
     void left(state::time_point now);
 
--- a/src/transport/broadcast_targets.hpp
+++ b/src/transport/broadcast_targets.hpp
@@ -9,19 +9,19 @@
 #include <vector>
 
 /// \file
-/// \brief Addresses of those to whom a message is passed on.
+/// \brief Addresses to which a broadcast message is forwarded.
 
 namespace plumdale::transport
 {
 
-/// \brief A peer to pass something on to.
+/// \brief A peer to which a message may be forwarded.
 struct broadcast_peer
 {
     state::node_id node;
     state::endpoint datagrams;
 };
 
-/// \brief An address to send to, and the range that is passed on from there.
+/// \brief An address to send to, and the range that its receiver forwards the message to.
 struct broadcast_target
 {
     state::endpoint to;
@@ -29,7 +29,7 @@
     bool has_subrange = false;
 };
 
-/// \brief Returns to whom message `message` goes from the holder of `range`.
+/// \brief Returns where the VM responsible for `range` sends message `message`.
 [[nodiscard]] std::vector<broadcast_target> targets_of(coordination::broadcast_range const& range,
                                                        std::uint64_t message,
                                                        std::span<broadcast_peer const> peers,
--- a/src/transport/configuration_exchange.cpp
+++ b/src/transport/configuration_exchange.cpp
@@ -22,7 +22,7 @@
 constexpr unsigned success = 200;
 constexpr std::chrono::milliseconds peer_timeout{900};
 
-std::uint64_t number_of(std::string_view text)
+std::uint64_t parse_version(std::string_view text)
 {
     std::uint64_t value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value);
@@ -77,7 +77,7 @@
         configuration_offer next = offer;
         next.range = each.subrange;
         next.has_range = each.has_subrange;
-        // What is too large for a datagram is asked for, and then passed on by who has it.
+        // Receivers request a patch that is too large for a datagram, and then forward the offer.
         next.patch = is_large ? std::string{} : offer.patch;
         callbacks_.send(std::string(1, datagram_tag) +
                             protocol::encode(next, core_.settings.fleet_key),
@@ -95,7 +95,7 @@
     auto text =
         protocol::apply_patch(offer.base == 0 ? std::string_view{} : core_.configuration_text,
                               offer.patch, protocol::max_configuration_bytes);
-    // Texts of one version may differ where a peer's was damaged: only the digest shows it.
+    // Texts of one version may differ if a peer's was damaged: only the digest shows it.
     if (!text || protocol::text_digest(text.value()) != offer.digest)
     {
         core_.log.write(part, "patch doesn't fit", {},
@@ -125,16 +125,16 @@
     }
     note_peer_version(offer.version);
     request_offer(streams,
-                  [this, offer](bool given)
+                  [this, offer](bool applied)
                   {
-                      if (given && core_.version() == offer.version)
+                      if (applied && core_.version() == offer.version)
                       {
                           forward_offer(offer);
                       }
                   });
 }
 
-// -- what was missed ------------------------------------------------------------------------------
+// -- catching up ----------------------------------------------------------------------------------
 
 void configuration_exchange::note_peer_version(std::uint64_t version)
 {
@@ -154,9 +154,9 @@
                 core_.fleet.peer_with_newer_configuration(core_.version(), core_.random(), now))
         {
             return request_offer(*peer,
-                                 [this](bool given)
+                                 [this](bool applied)
                                  {
-                                     if (!given)
+                                     if (!applied)
                                      {
                                          catch_up_.failed(boot_now());
                                      }
@@ -177,25 +177,25 @@
     fetch(core_.context, std::move(request),
           [this, done = std::move(done)](state::result<fetch_answer> const& answer)
           {
-              bool const is_whole = answer && answer.value().status == success;
-              auto const offer = is_whole ? protocol::decode_configuration_offer(
-                                                answer.value().body, core_.settings.fleet_key)
-                                          : state::result<configuration_offer>{state::failure{}};
-              bool const given = offer && apply(offer.value());
-              if (!given)
+              bool const is_success = answer && answer.value().status == success;
+              auto const offer = is_success ? protocol::decode_configuration_offer(
+                                                  answer.value().body, core_.settings.fleet_key)
+                                            : state::result<configuration_offer>{state::failure{}};
+              bool const applied = offer && apply(offer.value());
+              if (!applied)
               {
                   core_.log.write(part, "peer gave none", {},
                                   {{"version", static_cast<std::int64_t>(core_.version())},
                                    {"detail", answer ? std::to_string(answer.value().status)
                                                      : answer.error().detail}});
               }
-              done(given);
+              done(applied);
           });
 }
 
 std::string configuration_exchange::answer_to(std::string_view request_target)
 {
-    std::uint64_t const base = number_of(request_target.substr(target.size()));
+    std::uint64_t const base = parse_version(request_target.substr(target.size()));
     if (answered_version_ != core_.version() || answered_base_ != base)
     {
         answered_version_ = core_.version();
--- a/src/transport/configuration_exchange.hpp
+++ b/src/transport/configuration_exchange.hpp
@@ -13,41 +13,42 @@
 #include <vector>
 
 /// \file
-/// \brief How configurations reach all entry VMs from the one that read them.
+/// \brief Distribution of configurations from the entry VM that read them to all others.
 
 namespace plumdale::transport
 {
 
-/// \brief What the exchange needs of its surroundings.
+/// \brief Functions that the exchange calls to reach peers and the store.
 struct configuration_callbacks
 {
     std::function<std::vector<broadcast_peer>()> peers;
     std::function<void(std::string datagram, state::endpoint to)> send;
-    /// \brief Reads the store once; calls its argument where that brings nothing newer.
+    /// \brief Reads the store once; calls its argument if the store has nothing newer.
     std::function<void(std::function<void()> on_not_newer)> read_store;
 };
 
-/// \brief Passes newer configurations on as differences, and asks for those that were missed.
+/// \brief Forwards newer configurations as patches, and requests those that were missed.
 class configuration_exchange
 {
 public:
     configuration_exchange(forward_core& core, configuration_callbacks callbacks);
 
-    /// \brief This VM read a newer configuration from the store: all are to have it.
+    /// \brief Broadcasts a newer configuration that this VM read from the store.
     void spread();
-    /// \brief Takes an offer and passes it on; `streams` is where its sender is asked.
+    /// \brief Applies an offer and forwards it; `streams` is the address at which its sender serves
+    /// its configuration.
     void receive_offer(std::span<char const> datagram, state::endpoint streams);
-    /// \brief A peer follows `version`.
+    /// \brief Records that a peer uses `version`.
     void note_peer_version(std::uint64_t version);
-    /// \brief Asks for what is still missing when that is due.
+    /// \brief Requests a missing configuration when a request is due.
     void advance();
 
     /// \brief The first byte of a datagram with an offer.
     static constexpr char datagram_tag = 'c';
-    /// \brief Path at which peers give out their configuration; the version that the asker has
-    /// follows it.
+    /// \brief Path at which peers serve their configuration, followed by the version that the
+    /// requester has.
     static constexpr std::string_view target = "/fleet/configuration/";
-    /// \brief Returns the body of the answer to a peer that asked at `request_target`.
+    /// \brief Returns the response body for a peer's request to `request_target`.
     [[nodiscard]] std::string answer_to(std::string_view request_target);
 
 private:
@@ -59,7 +60,7 @@
     forward_core& core_;
     configuration_callbacks callbacks_;
     coordination::configuration_catch_up catch_up_;
-    /// \brief The answer given last: a fleet that lacks the same version asks for the same.
+    /// \brief The last answer, cached: peers that lack the same version request the same answer.
     std::uint64_t answered_version_ = 0;
     std::uint64_t answered_base_ = 0;
     std::string answer_;
--- a/src/transport/decision_log.cpp
+++ b/src/transport/decision_log.cpp
@@ -81,8 +81,8 @@
     buffer_ += "}\n";
 }
 
-// Whole lines of at most what a pipe takes at once: a process that loses power between two parts of
-// a line leaves half of it, and the next process's first line stands inside it.
+// Whole lines of at most PIPE_BUF bytes are written at once: a process that loses power between two
+// parts of a line leaves half of it, to which the next process's first line is appended.
 std::size_t decision_log::next_write_size() const noexcept
 {
     if (buffer_.size() <= PIPE_BUF)
--- a/src/transport/decision_log.hpp
+++ b/src/transport/decision_log.hpp
@@ -28,11 +28,11 @@
     bool is_number = false;
 };
 
-/// \brief Writes lines of JSON without ever waiting for who reads them.
+/// \brief Writes lines of JSON without ever blocking on their reader.
 ///
 /// Boost.Log's sinks block on a full pipe, so lines go into a bounded buffer that is written as far
-/// as the descriptor takes it. What does not fit is dropped, counted, and said in a line once there
-/// is room again. Rates are bounded for each part by `lines_per_second`. Example:
+/// as the descriptor accepts it. Lines that do not fit are dropped and counted; the count is logged
+/// once the buffer is empty. `lines_per_second` bounds the rate of all parts together. Example:
 /// \code
 /// log.write("call", "refused", id, {{"route", name}, {"left_ms", 120}});
 /// \endcode
@@ -42,20 +42,21 @@
     /// \brief Makes `descriptor` non-blocking.
     decision_log(int descriptor, std::string node);
 
-    /// \brief Adds a line: the part's prefix, what was decided, the request's id or nothing.
+    /// \brief Adds a line with the part's prefix, the decision and the request's id, which may be
+    /// empty.
     void write(std::string_view part, std::string_view decision, std::string_view id,
                std::initializer_list<log_field> fields);
-    /// \brief Writes what the descriptor takes now.
+    /// \brief Writes as much as the descriptor accepts without blocking.
     void flush();
     [[nodiscard]] std::uint64_t dropped() const noexcept
     {
         return dropped_;
     }
 
-    /// \brief Bytes kept for a reader that is slow; 64 KB is some 300 lines.
+    /// \brief Bytes buffered for a slow reader; 64 KB hold some 300 lines.
     static constexpr std::size_t buffer_limit = 64UL * 1024;
-    /// \brief Lines a second, of all parts: three for each of 68 requests at full size, and as much
-    /// again.
+    /// \brief Lines per second of all parts: twice the three lines of each of 68 requests at full
+    /// size.
     static constexpr std::uint32_t lines_per_second = 400;
 
 private:
--- a/src/transport/departure_tracker.cpp
+++ b/src/transport/departure_tracker.cpp
@@ -17,9 +17,9 @@
 
 constexpr std::string_view part = "directory";
 constexpr unsigned success = 200;
-// An upstream that leaves answers within a millisecond or two; later its answer is no use.
+// A leaving upstream answers within a millisecond or two; a later answer is of no use.
 constexpr std::chrono::milliseconds report_timeout{300};
-// Upstreams' reports tell of the time this long ago: 500 ms in all that were seen.
+// Upstreams' reports describe their state of 500 ms ago.
 constexpr std::chrono::milliseconds report_lag{500};
 constexpr std::chrono::milliseconds report_slack{60};
 
@@ -28,9 +28,9 @@
 departure_tracker::departure_tracker(net::io_context& context, protocol::dialect const& dialect,
                                      coordination::service_directory const& directory,
                                      coordination::load_ledger const& ledger, decision_log& log,
-                                     restart_handler started)
+                                     restart_handler on_restart)
     : context_{context}, dialect_{dialect}, directory_{directory}, ledger_{ledger}, log_{log},
-      on_restart_{std::move(started)}
+      on_restart_{std::move(on_restart)}
 {
 }
 
@@ -58,7 +58,7 @@
         return false;
     }
     notify(member);
-    // Only who has generations there needs to know when it goes.
+    // Only an entry VM with generations at the upstream needs its departure time.
     if (ledger_.own(member).tokens > 0)
     {
         schedule_report_request(member);
@@ -85,7 +85,7 @@
 
 // -- reports --------------------------------------------------------------------------------------
 
-// Reports are as old as `report_lag`: asked at once, one would still say that the upstream stays.
+// Reports are `report_lag` old: one requested at once would still say that the upstream stays.
 void departure_tracker::schedule_report_request(state::member_key member)
 {
     auto const timer = std::make_shared<net::steady_timer>(context_, report_lag + report_slack);
@@ -115,8 +115,8 @@
     fetch(context_, std::move(request),
           [this, member](state::result<fetch_answer> const& answer)
           {
-              bool const is_whole = answer && answer.value().status == success;
-              apply_report(member, is_whole
+              bool const is_success = answer && answer.value().status == success;
+              apply_report(member, is_success
                                        ? dialect_.read_report(answer.value().body)
                                        : state::result<protocol::member_report>{state::failure{}});
           });
@@ -126,16 +126,17 @@
                                      state::result<protocol::member_report> const& report)
 {
     coordination::directory_entry const* const entry = directory_.find(member);
-    bool const is_of_later = report && entry != nullptr && entry->info.started.value != 0 &&
-                             entry->info.started < report.value().started;
+    bool const has_restarted = report && entry != nullptr && entry->info.started.value != 0 &&
+                               entry->info.started < report.value().started;
     auto const leaves_in =
-        report && !is_of_later ? report.value().leaves_in : std::optional<state::duration>{};
+        report && !has_restarted ? report.value().leaves_in : std::optional<state::duration>{};
     log_.write(part, "departure asked", {},
                {{"member", static_cast<std::int64_t>(member.value)},
                 {"leaves_in_ms", leaves_in ? whole_milliseconds(*leaves_in) : -1}});
-    if (is_of_later)
+    if (has_restarted)
     {
-        // The platform's list may tell it seconds later, or not while it is away.
+        // The platform's list may show the restart seconds later, or not at all while the store is
+        // unreachable.
         return on_restart_(member, report.value().started);
     }
     if (leaves_in)
@@ -156,9 +157,9 @@
 
 void departure_tracker::notify_listeners(std::function<void(departure_listener&)> const& notify)
 {
-    // Listeners may go while they are told.
-    std::vector<departure_listener*> const told{listeners_.begin(), listeners_.end()};
-    for (departure_listener* const listener : told)
+    // Listeners may remove themselves while they are notified.
+    std::vector<departure_listener*> const current{listeners_.begin(), listeners_.end()};
+    for (departure_listener* const listener : current)
     {
         if (listeners_.contains(listener))
         {
--- a/src/transport/departure_tracker.hpp
+++ b/src/transport/departure_tracker.hpp
@@ -13,12 +13,12 @@
 #include <unordered_set>
 
 /// \file
-/// \brief Which upstreams leave and when, and the calls that are told.
+/// \brief Which upstreams leave and when, and the calls that are notified.
 
 namespace plumdale::transport
 {
 
-/// \brief A call that is told of its upstream's departure.
+/// \brief A call that is notified when its upstream leaves, restarts or is evacuated.
 class departure_listener
 {
 public:
@@ -29,35 +29,35 @@
 
     virtual void on_member_leaving(state::member_key member,
                                    coordination::departure const& when) = 0;
-    /// \brief The upstream started again: nothing that ran or was kept at this start is there.
+    /// \brief The upstream restarted: nothing that this incarnation ran or stored is left.
     virtual void on_member_restarted(state::member_key member) = 0;
-    /// \brief Nothing more is to be sent to the upstreams of a zone; what runs there runs on.
+    /// \brief Nothing more may be sent to the upstreams of a zone; what runs there continues.
     virtual void on_zone_evacuated(state::zone_id zone) = 0;
 };
 
-/// \brief Notes departures, asks leaving upstreams when they will be gone, and tells calls; on one
-/// loop.
+/// \brief Records departures, asks leaving upstreams for the time of their departure, and notifies
+/// calls; used on one loop.
 class departure_tracker
 {
 public:
-    /// \brief Called with the start that an upstream's own report tells.
+    /// \brief Called with the incarnation that an upstream's own report states.
     using restart_handler = std::function<void(state::member_key, state::incarnation)>;
 
     departure_tracker(net::io_context& context, protocol::dialect const& dialect,
                       coordination::service_directory const& directory,
                       coordination::load_ledger const& ledger, decision_log& log,
-                      restart_handler started);
+                      restart_handler on_restart);
 
     void add_listener(departure_listener& listener);
     void remove_listener(departure_listener& listener);
     /// \brief Returns the departure of an upstream; null when none is known.
     [[nodiscard]] coordination::departure const* find(state::member_key member) const;
 
-    /// \brief Notes that an upstream leaves or is gone; returns whether that is news.
+    /// \brief Records that an upstream leaves or is gone; returns whether that was unknown before.
     bool record_departure(state::member_key member);
-    /// \brief Tells calls that an upstream started again.
+    /// \brief Notifies calls that an upstream restarted.
     void notify_restart(state::member_key former);
-    /// \brief Tells calls that a zone's upstreams get nothing more.
+    /// \brief Notifies calls that nothing more may be sent to a zone's upstreams.
     void notify_evacuation(state::zone_id zone);
     /// \brief Drops departures of upstreams that the directory has forgotten.
     void sweep();
--- a/src/transport/directory_change_log.hpp
+++ b/src/transport/directory_change_log.hpp
@@ -12,16 +12,16 @@
 #include <string_view>
 
 /// \file
-/// \brief Log lines of changes of upstreams, several changes a line.
+/// \brief Log lines for changes of upstreams, several changes per line.
 
 namespace plumdale::transport
 {
 
-/// \brief Collects what changed in the directory and writes it in few lines.
+/// \brief Batches changes of the directory into few log lines.
 ///
-/// A line for each change at each entry VM says hundreds of times what one reader learnt, and in a
-/// release it crowds out the lines of calls. A change is written at once where none was lately, and
-/// together with those that follow it otherwise.
+/// With a line for each change, hundreds of entry VMs would repeat what one reader read, and in a
+/// release these lines crowd out those of calls. A change is written at once if no line of its kind
+/// was written lately, and otherwise together with those that follow it.
 class directory_change_log
 {
 public:
@@ -29,12 +29,12 @@
 
     void add(coordination::directory_change change, state::service_member const& member,
              std::string_view source);
-    /// \brief Writes what is due; `digest` is the directory's afterwards.
+    /// \brief Writes the lines that are due; `digest` is that of the directory after the changes.
     void flush(std::uint64_t digest, state::time_point now);
 
     /// \brief Time between two lines of one kind of change.
     static constexpr state::duration line_interval = std::chrono::seconds{2};
-    /// \brief Names in a line; the others are counted.
+    /// \brief Most names in a line; the others are only counted.
     static constexpr std::size_t max_names = 120;
 
 private:
--- a/src/transport/fleet_exchange.cpp
+++ b/src/transport/fleet_exchange.cpp
@@ -25,15 +25,16 @@
 constexpr std::string_view part = "fleet";
 constexpr unsigned success = 200;
 constexpr std::chrono::milliseconds peer_timeout{700};
-// Members are found by probes and counted by their news, so probes need only keep the table: 3.7
+// Probes find members and updates show which are live, so probes need only maintain the table: 3.7
 // KB/s at this interval.
 constexpr state::duration probe_interval = std::chrono::seconds{1};
-// Between two questions for a directory: hundreds that lack the same ask at different moments.
+// Longest time between two requests for a directory; it is randomized so that hundreds of VMs that
+// lack the same rows don't request them at the same moment.
 constexpr state::duration directory_fetch_interval = std::chrono::milliseconds{200};
-// Between two lines of how many peers are there.
+// Time between two log lines on the number of live peers.
 constexpr state::duration live_count_log_interval = std::chrono::seconds{1};
 
-// Grows from start to start unless the time of day steps back; peers allow for that.
+// Grows with each start unless the wall clock steps back; peers allow for that.
 state::incarnation new_incarnation()
 {
     auto const wall = std::chrono::system_clock::now().time_since_epoch();
@@ -155,18 +156,18 @@
     configurations_.note_peer_version(update.configuration);
 }
 
-// Whatever order messages come in: upstreams join by their revisions, and a part of the fleet waits
-// for what is passed on from here.
+// Messages may arrive in any order: upstreams are merged by their revisions, and a part of the
+// fleet depends on what is forwarded from here.
 void fleet_exchange::apply_members(fleet_update const& update)
 {
     std::size_t const unreported = core_.unreported.size();
     core_.apply_members(update.members, part);
-    // They reach the others as this did.
+    // The other VMs receive them through the same broadcast, so they are not reported again.
     core_.unreported.resize(unreported);
     forward_update(update);
 }
 
-// -- what is lacking ------------------------------------------------------------------------------
+// -- fetching from peers --------------------------------------------------------------------------
 
 void fleet_exchange::broadcast_configuration()
 {
@@ -205,7 +206,7 @@
     request.address = peer;
     request.target = directory_target;
     request.timeout = peer_timeout;
-    // Who has a list lacks some rows of it; hundreds that fetched the whole list from one peer
+    // A VM that has a list lacks only some rows; hundreds that fetched the whole list from one peer
     // filled its link for longer than any of them waited.
     if (core_.has_list)
     {
@@ -271,9 +272,9 @@
     log_live_peers(now);
     sync_directory(now);
     configurations_.advance();
-    bool const lost = !last_read_();
-    bool const begins_to_read = core_.is_active_reader && !announced_is_reader_;
-    bool const is_urgent = lost != announced_store_lost_ || begins_to_read;
+    bool const store_lost = !last_read_();
+    bool const became_reader = core_.is_active_reader && !announced_is_reader_;
+    bool const is_urgent = store_lost != announced_store_lost_ || became_reader;
     announce_members();
     if (now >= next_full_update_at_)
     {
--- a/src/transport/fleet_exchange.hpp
+++ b/src/transport/fleet_exchange.hpp
@@ -19,41 +19,41 @@
 #include <vector>
 
 /// \file
-/// \brief Membership and news between forwarding entry VMs.
+/// \brief Membership and state updates between forwarding entry VMs.
 
 namespace plumdale::transport
 {
 
-/// \brief Tells peers what this VM has in flight and learnt, takes what they tell, and fetches from
-/// them what it lacks.
+/// \brief Sends peers what this VM has in flight and has learnt, applies their updates, and fetches
+/// from them what it lacks.
 class fleet_exchange
 {
 public:
-    /// \brief `last_read` returns when this VM last read the platform's store itself, none while it
-    /// can't; `read_store` reads the configuration there, for what no peer gives.
+    /// \brief `last_read` returns when this VM last read the platform's store itself, or none while
+    /// it can't; `read_store` reads the configuration there if no peer has it.
     fleet_exchange(forward_core& core, net::ip::udp::socket socket, state::endpoint streams,
                    std::function<std::optional<state::time_point>()> last_read,
                    std::function<void(std::function<void()>)> read_store);
 
     void start();
-    /// \brief Does what is due; called several times a second.
+    /// \brief Sends and requests what is due; called several times a second.
     void advance();
-    /// \brief This VM read a newer configuration: all are to have it.
+    /// \brief Broadcasts a newer configuration that this VM read.
     void broadcast_configuration();
-    /// \brief This VM read of an order of evacuation: all are to know.
+    /// \brief Broadcasts the orders of evacuation that this VM read.
     void broadcast_evacuations();
-    /// \brief Returns the body for a peer that asks for the configuration at `target`.
+    /// \brief Returns the response body for a peer that requests the configuration at `target`.
     [[nodiscard]] std::string configuration_for(std::string_view target);
-    /// \brief The own load at an upstream changed: told at once, as far as the budget goes.
+    /// \brief Sends this VM's changed load at an upstream at once, as far as the budget allows.
     void announce_load(state::member_key member);
-    /// \brief There may be news of requests that end upstreams: all are to know.
+    /// \brief Broadcasts new evidence on requests that end upstreams, if there is any.
     void announce_evidence();
-    /// \brief There may be news of what upstreams state that they take: all are to know.
+    /// \brief Broadcasts new limits that upstreams state, if there are any.
     void announce_limits();
-    /// \brief This VM leaves the fleet.
+    /// \brief Announces that this VM leaves the fleet.
     void leave();
 
-    /// \brief Path at which peers give out their directory of upstreams.
+    /// \brief Path at which peers serve their directory of upstreams.
     static constexpr std::string_view directory_target = "/fleet/upstreams";
     /// \brief The first byte of a datagram says which codec reads the rest.
     static constexpr char membership_tag = 'm';
@@ -73,16 +73,17 @@
     void announce_members();
     void announce_loads();
     void record_sent_status(coordination::fleet_update const& update);
-    /// \brief Exchanges with a peer what is known of requests that end upstreams, where it differs.
+    /// \brief Exchanges evidence on requests that end upstreams with a peer whose evidence differs.
     void exchange_evidence(coordination::fleet_update const& received, state::endpoint to);
-    /// \brief Begins a message to all, along as many trees as make up for a lost datagram.
+    /// \brief Starts a broadcast, along as many trees as make up for a lost datagram.
     void spread(coordination::fleet_update& update);
-    /// \brief Sends upstreams and orders to the heads of a range, who pass them on.
+    /// \brief Sends upstreams and orders to the receivers of a range's branches, which forward
+    /// them.
     void forward_update(coordination::fleet_update const& from);
     [[nodiscard]] coordination::fleet_update make_update();
     [[nodiscard]] coordination::fleet_update make_update_with_orders();
     void send(std::string datagram, state::endpoint to);
-    /// \brief Numbers a message and sends it to all of `peers`.
+    /// \brief Assigns a sequence number to a message and sends it to all of `peers`.
     void send(coordination::fleet_update& update, std::span<state::endpoint const> peers);
     void log_live_peers(state::time_point now);
     void fetch_directory(state::endpoint peer);
--- a/src/transport/fleet_exchange_sending.cpp
+++ b/src/transport/fleet_exchange_sending.cpp
@@ -10,7 +10,7 @@
 #include <algorithm>
 #include <utility>
 
-// What this VM tells the others, and to whom; what it takes from them is in fleet_exchange.cpp.
+// What this VM sends to its peers; fleet_exchange.cpp applies what it receives from them.
 
 namespace plumdale::transport
 {
@@ -21,7 +21,7 @@
 using udp = net::ip::udp;
 using boost::system::error_code;
 
-// Of what is known, to one peer at a time: more would be a burst on its link.
+// Most evidence sent to one peer at a time: more would be a burst on its link.
 constexpr std::size_t max_sent_evidence = 4 * fleet_update::max_evidence;
 
 std::uint32_t age_in_ms(state::duration time)
@@ -30,21 +30,21 @@
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(age, 0, UINT32_MAX));
 }
 
-// Rows of a message as many as fit into a datagram.
+// Splits the rows of a message into parts that each fit into a datagram.
 template <class Row>
-std::vector<std::span<Row const>> split_rows(std::span<Row const> rows, std::size_t most)
+std::vector<std::span<Row const>> split_rows(std::span<Row const> rows, std::size_t max_rows)
 {
     std::vector<std::span<Row const>> parts;
     for (; !rows.empty(); rows = rows.subspan(parts.back().size()))
     {
-        parts.push_back(rows.first(std::min(rows.size(), most)));
+        parts.push_back(rows.first(std::min(rows.size(), max_rows)));
     }
     return parts;
 }
 
 } // namespace
 
-// -- telling --------------------------------------------------------------------------------------
+// -- sending --------------------------------------------------------------------------------------
 
 std::vector<broadcast_peer> fleet_exchange::broadcast_peers() const
 {
@@ -64,9 +64,9 @@
     std::vector<state::endpoint> peers;
     for (state::member_entry const& entry : members_.table().entries())
     {
-        bool const listens =
+        bool const is_recipient =
             entry.info.id != settings_.self.id && entry.info.health != state::member_health::dead;
-        if (listens)
+        if (is_recipient)
         {
             peers.push_back(entry.info.datagrams);
         }
@@ -89,9 +89,9 @@
     update.incarnation_number = settings_.self.incarnation_number;
     update.configuration = core_.version();
     update.directory = core_.directory.digest();
-    // A reader that lost the store says so, and another takes its place at once.
+    // A reader that lost the store reports it, and another replaces it at once.
     update.platform_age_ms = read ? age_in_ms(boot_now() - *read) : UINT32_MAX;
-    // Counted on from the start's own number, so that it grows across starts.
+    // Starts at the incarnation's number, so that it also grows across restarts.
     update.heartbeat =
         core_.store_reads == 0 ? 0 : settings_.self.incarnation_number.value + core_.store_reads;
     update.readers = core_.fleet.reader_heartbeats(boot_now());
@@ -107,7 +107,8 @@
     return update;
 }
 
-// Rows beyond a datagram's bound go in further ones; only the first may clear what was told.
+// Rows beyond a datagram's limit go into further ones; only the first may clear the rows sent
+// before.
 void fleet_exchange::send_full_update()
 {
     std::vector<state::endpoint> const peers = recipients();
@@ -139,19 +140,21 @@
     announced_is_reader_ = core_.is_active_reader;
 }
 
-// From a reader's own link to hundreds, a burst of changes overflows it, and half of the fleet
-// misses the same datagrams. Passed on, each VM sends it to a few.
+// A burst of changes sent by a reader to hundreds of VMs overflows its link, and half of the fleet
+// misses the same datagrams. With forwarding, each VM sends to a few.
 void fleet_exchange::announce_members()
 {
-    std::vector<state::service_member> told = std::exchange(core_.unreported, {});
-    // Others' lists lagged by more or less than this one. Hundreds of VMs that each passed on a
-    // list of thousands filled all links; there the readers tell what changed since.
-    auto const of_start = std::exchange(core_.unreported_at_start, {});
+    std::vector<state::service_member> unreported = std::exchange(core_.unreported, {});
+    // The lists that other VMs read at their start lagged by more or less than this one. Hundreds
+    // of VMs that each forwarded a list of thousands filled all links; in large fleets the readers
+    // report what changed since.
+    auto const at_start = std::exchange(core_.unreported_at_start, {});
     if (broadcast_peers().size() <= max_direct_peers)
     {
-        told.insert(told.end(), of_start.begin(), of_start.end());
+        unreported.insert(unreported.end(), at_start.begin(), at_start.end());
     }
-    for (auto const part : split_rows(std::span{std::as_const(told)}, fleet_update::max_members))
+    for (auto const part :
+         split_rows(std::span{std::as_const(unreported)}, fleet_update::max_members))
     {
         fleet_update update;
         update.members.assign(part.begin(), part.end());
@@ -167,8 +170,9 @@
 
 void fleet_exchange::announce_evidence()
 {
-    std::vector<request_evidence> const told = core_.quarantine.known().unreported();
-    for (auto const part : split_rows(std::span{std::as_const(told)}, fleet_update::max_evidence))
+    std::vector<request_evidence> const unreported = core_.quarantine.known().unreported();
+    for (auto const part :
+         split_rows(std::span{std::as_const(unreported)}, fleet_update::max_evidence))
     {
         fleet_update update;
         update.evidence.assign(part.begin(), part.end());
@@ -178,8 +182,9 @@
 
 void fleet_exchange::announce_limits()
 {
-    std::vector<state::stated_limit> const told = core_.limits.known().unreported(boot_now());
-    for (auto const part : split_rows(std::span{std::as_const(told)}, fleet_update::max_limits))
+    std::vector<state::stated_limit> const unreported = core_.limits.known().unreported(boot_now());
+    for (auto const part :
+         split_rows(std::span{std::as_const(unreported)}, fleet_update::max_limits))
     {
         fleet_update update;
         update.limits.assign(part.begin(), part.end());
@@ -187,7 +192,7 @@
     }
 }
 
-// For those that missed what was told at once, or that were not there.
+// For peers that missed the announcement or joined after it.
 void fleet_exchange::send_confirmed_limits()
 {
     fleet_update update = make_update();
@@ -198,7 +203,7 @@
     }
 }
 
-// One that has just started, was cut off or missed a datagram shows it by its digest.
+// The digest of a peer that has just started, was cut off or missed a datagram differs.
 void fleet_exchange::exchange_evidence(fleet_update const& received, state::endpoint to)
 {
     state::time_point const now = boot_now();
@@ -208,9 +213,9 @@
                            now);
     if (answer.should_request)
     {
-        fleet_update question = make_update();
-        question.requests_evidence = true;
-        send(question, std::array{to});
+        fleet_update request = make_update();
+        request.requests_evidence = true;
+        send(request, std::array{to});
     }
     std::vector<request_evidence> known;
     if (answer.should_send)
@@ -292,7 +297,7 @@
     core_.metrics.add(forward_count::news_sent);
     core_.metrics.add(forward_count::news_bytes, datagram.size());
     error_code ignored;
-    // A datagram that finds no room is lost like any other; whole news follow.
+    // A datagram that finds no buffer space is lost like any other; full updates follow.
     socket_.send_to(net::buffer(datagram), udp::endpoint{net::ip::address_v4{to.address}, to.port},
                     0, ignored);
 }
@@ -317,7 +322,7 @@
     {
         return;
     }
-    // Behind the events at hand: what they change goes along.
+    // Runs after the pending events, so that their changes are included.
     net::post(core_.context,
               [this]
               {
--- a/src/transport/forward_core.cpp
+++ b/src/transport/forward_core.cpp
@@ -20,8 +20,8 @@
 
 constexpr std::string_view part = "directory";
 
-// One that has just started hears within this time who reads the store; the seeds, whom all others
-// ask first, are the first to volunteer.
+// A VM that has just started learns within this time which VMs read the store. The seeds, which all
+// others contact first, become eligible as readers first.
 constexpr state::duration seed_eligibility_delay = std::chrono::milliseconds{500};
 constexpr state::duration start_eligibility_delay = std::chrono::milliseconds{1'500};
 
@@ -75,7 +75,7 @@
     }
     std::uint64_t const known = version();
     std::uint64_t const newer = decoded.value().version;
-    // Versions join by maximum: a store that lags, or a peer, never takes this process back.
+    // The highest version wins: a lagging store or peer never sets this process back.
     if (newer <= known)
     {
         return false;
@@ -120,22 +120,22 @@
     }
 }
 
-// Its calls and memory went with the former start, whatever its connections say: those of a VM that
-// lost power stay silent for as long as a caller waits.
+// Calls and memory are lost with the former incarnation, even while its connections stay open:
+// those of a VM that lost power stay silent for as long as a caller waits.
 void forward_core::on_member_restarted(state::member_key former, state::member_key latest,
                                        std::string_view source)
 {
     coordination::directory_entry const* const entry = directory.find(former);
-    bool const was_told = entry != nullptr && entry->info.started.value != 0;
+    bool const was_start_known = entry != nullptr && entry->info.started.value != 0;
     log.write(
-        part, was_told ? "upstream started again" : "upstream's start learnt", {},
+        part, was_start_known ? "upstream started again" : "upstream's start learnt", {},
         {{"upstream", directory.find(latest)->info.name},
          {"started", static_cast<std::int64_t>(directory.find(latest)->info.started.value)},
          {"before", entry == nullptr ? 0 : static_cast<std::int64_t>(entry->info.started.value)},
          {"source", source}});
     pool.drop(former);
     health.forget(former);
-    if (was_told)
+    if (was_start_known)
     {
         departures.notify_restart(former);
     }
@@ -191,7 +191,7 @@
 {
     apply_members(members, source);
     apply_unusable_entries(unusable, source);
-    // By name: a list that lags may still have the former start of one that is there.
+    // Compared by name: a lagging list may still have the former incarnation of an upstream.
     std::unordered_set<std::string_view> listed;
     for (state::service_member const& member : members)
     {
@@ -239,7 +239,7 @@
 
 // -- evacuations ----------------------------------------------------------------------------------
 
-// Zones travel as identifiers; their names are those of listed upstreams.
+// Messages carry zones as identifiers; their names are those of listed upstreams.
 std::string forward_core::name_of(state::zone_id zone) const
 {
     for (auto const& [key, entry] : directory.entries())
@@ -295,7 +295,7 @@
     return retry_detectors_[route].detect(time_left);
 }
 
-// -- repeats --------------------------------------------------------------------------------------
+// -- retries --------------------------------------------------------------------------------------
 
 coordination::fleet_retry_budget& forward_core::retry_budget_of(std::string const& service)
 {
@@ -309,7 +309,7 @@
 
 bool forward_core::take_retry(std::string const& service)
 {
-    // Others may be cut off from this VM and spend their shares all the same.
+    // Peers that are cut off from this VM still spend their shares.
     bool const granted = retry_budget_of(service).take(boot_now(), fleet.peak_live());
     metrics.add(granted ? forward_count::repeats : forward_count::repeats_denied);
     return granted;
--- a/src/transport/forward_core.hpp
+++ b/src/transport/forward_core.hpp
@@ -38,7 +38,7 @@
 namespace plumdale::transport
 {
 
-/// \brief State and decisions of one forwarding entry VM; on one loop.
+/// \brief State and decisions of one forwarding entry VM; used on one loop.
 class forward_core
 {
 public:
@@ -49,32 +49,33 @@
     ~forward_core() = default;
 
     // -- what this VM knows ------------------------------------------------------------
-    /// \brief Takes a configuration as published; returns whether it is newer than the one known.
+    /// \brief Applies a configuration as published; returns whether it is newer than the one known.
     bool apply_configuration(std::string text, std::string_view source);
     /// \brief Returns the version in force here; zero before there is one.
     [[nodiscard]] std::uint64_t version() const noexcept
     {
         return routing == nullptr ? 0 : routing->configuration().version;
     }
-    /// \brief Joins news of upstreams; passes on what changed to peers.
+    /// \brief Merges entries of upstreams; queues those that changed for peers.
     void apply_members(std::span<state::service_member const> members, std::string_view source);
-    /// \brief Takes entries that can't be believed: their upstreams get no new work.
+    /// \brief Applies entries that can't be used: their upstreams get no new work.
     void apply_unusable_entries(std::span<protocol::unusable_entry const> entries,
                                 std::string_view source);
-    /// \brief Takes a whole list as of `revision`: what it lacks is gone.
+    /// \brief Applies a complete list as of `revision`: upstreams that it lacks are gone.
     void apply_list(std::span<state::service_member const> members,
                     std::span<protocol::unusable_entry const> unusable, std::uint64_t revision,
                     std::string_view source);
-    /// \brief Takes the whole set of orders of evacuation as of a revision.
+    /// \brief Applies the complete set of orders of evacuation as of a revision.
     void apply_evacuations(state::evacuations const& received, std::string_view source);
-    /// \brief Takes what the watched store tells of orders up to revision `as_of`.
+    /// \brief Applies changes of orders that the watch of the store reports up to revision `as_of`.
     void apply_evacuation_changes(std::span<protocol::evacuation_order const> received_orders,
                                   std::uint64_t as_of, std::string_view source);
-    /// \brief Another incarnation answered at this one's address.
+    /// \brief Drops what is known of an upstream after another incarnation answered at its address.
     void on_member_replaced(state::member_key member);
-    /// \brief Writes the lines of changes that are due.
+    /// \brief Writes the log lines of changes that are due.
     void flush_change_log(state::time_point now);
-    /// \brief Returns whether calls can be decided: a configuration and a list of upstreams.
+    /// \brief Returns whether calls can be routed: there is a configuration and a list of
+    /// upstreams.
     [[nodiscard]] bool can_route() const noexcept
     {
         return routing != nullptr && has_list;
@@ -85,10 +86,10 @@
     /// \brief Returns how old this VM's knowledge of the platform is.
     [[nodiscard]] state::duration platform_age(state::time_point now) const;
 
-    /// \brief Notes how long a caller of a route waits; returns whether that is so much less than
-    /// others waited from the start that this one was refused before.
+    /// \brief Records how much time a call of a route has left; returns whether that is so much
+    /// less than first attempts have that the call is a retry.
     [[nodiscard]] bool detect_retry(std::string const& route, state::duration time_left);
-    /// \brief Spends one of the repeats of a service; false when none is left.
+    /// \brief Spends one retry of a service's budget; returns false when none is left.
     [[nodiscard]] bool take_retry(std::string const& service);
     void note_call(std::string const& service);
 
@@ -97,9 +98,9 @@
     protocol::dialect const& dialect;
     decision_log& log;
     forward_metrics metrics;
-    /// \brief This VM among its peers.
+    /// \brief This VM's identifier among its peers.
     state::node_id const self;
-    /// \brief This VM is one of those by which the others find the fleet.
+    /// \brief This VM is a seed, through which the others find the fleet.
     bool const is_seed;
     coordination::route_outcomes outcomes;
     std::minstd_rand random;
@@ -116,9 +117,9 @@
     fetcher order_fetcher;
     departure_tracker departures;
     std::shared_ptr<coordination::routing_table const> routing;
-    /// \brief The configuration as published, for peers that ask.
+    /// \brief The configuration as published, for peers that request it.
     std::string configuration_text;
-    /// \brief The one before, to tell peers what differs.
+    /// \brief The previous configuration, from which peers' patches are made.
     std::string former_text;
     std::uint64_t former_version = 0;
     /// \brief The platform's revision of the newest whole list.
@@ -128,23 +129,23 @@
     state::time_point last_platform_read{};
     /// \brief Reads of the store's current state by this process.
     std::uint64_t store_reads = 0;
-    /// \brief This VM is a reader, and has read.
+    /// \brief This VM is a reader and has read the store.
     bool is_active_reader = false;
     /// \brief When SIGTERM came; `never` before.
     state::time_point closing_since = state::never;
-    /// \brief Upstreams that peers are to be told of.
+    /// \brief Changed upstreams that have not been reported to peers.
     std::vector<state::service_member> unreported;
-    /// \brief Those of the list that was read at the start: all others read one too.
+    /// \brief Those of the list that was read at the start: all other VMs read one too.
     std::vector<state::service_member> unreported_at_start;
     std::uint32_t calls_in_progress = 0;
     /// \brief Called when a generation began at an upstream, had its first event or ended there:
-    /// peers choose by that.
+    /// peers select upstreams by that load.
     std::function<void(state::member_key)> on_load_changed = [](state::member_key /*member*/) {
     };
     /// \brief Called when this VM read a newer configuration as a reader of the store.
     std::function<void()> on_configuration_read = [] {
     };
-    /// \brief Called when this VM read of an order of evacuation, given or taken back.
+    /// \brief Called when this VM read an order of evacuation or its revocation.
     std::function<void()> on_evacuations_read = [] {
     };
 
--- a/src/transport/forward_metrics.hpp
+++ b/src/transport/forward_metrics.hpp
@@ -8,12 +8,12 @@
 #include <string>
 
 /// \file
-/// \brief What a forwarding entry VM counts.
+/// \brief Counters and histograms of a forwarding entry VM.
 
 namespace plumdale::transport
 {
 
-/// \brief Everything that is counted, in the order of the page.
+/// \brief All counters, in the order of the metrics page.
 enum class forward_count : std::uint8_t
 {
     calls,
@@ -61,9 +61,10 @@
     {
         return counts_[static_cast<std::size_t>(which)];
     }
-    /// \brief Time from a call's head to its answer's end, or to a stream's first event.
+    /// \brief Records the time from a call's head to its answer's end, or to a stream's first
+    /// event.
     void answered(state::duration time);
-    /// \brief Pause of a stream between two upstreams.
+    /// \brief Records a stream's pause between two upstreams.
     void record_move_pause(state::duration pause);
     /// \brief Returns the page in Prometheus's text format.
     [[nodiscard]] std::string text(std::uint64_t lines_dropped) const;
--- a/src/transport/forwarder.cpp
+++ b/src/transport/forwarder.cpp
@@ -31,11 +31,12 @@
 using udp = net::ip::udp;
 
 constexpr std::string_view part = "process";
-// Idle connections, lost news and the like are looked at this often.
+// Idle connections, due updates and the like are checked at this interval.
 constexpr std::chrono::milliseconds maintenance_interval{50};
-// The balancer asks once a second and turns away after two misses.
+// The balancer probes once a second and stops sending calls after two failed probes.
 constexpr state::duration balancer_detection_time = std::chrono::milliseconds{2'800};
-// The platform ends the process at the end of the grace; the last answers need a moment to leave.
+// The platform ends the process at the end of the grace period; the last answers need time to be
+// sent.
 constexpr state::duration grace_margin = std::chrono::milliseconds{150};
 // A timer that is this late means that the process did not run.
 constexpr state::duration pause_tolerance = std::chrono::milliseconds{600};
@@ -59,7 +60,7 @@
 
     state::result<void> open()
     {
-        // A caller that closed its end must not end the process.
+        // A write to a connection that its caller closed must not end the process.
         std::signal(SIGPIPE, SIG_IGN);
         BOOST_OUTCOME_TRY(open_acceptor(callers_, settings_.callers));
         BOOST_OUTCOME_TRY(open_acceptor(ready_, settings_.ready));
@@ -167,7 +168,7 @@
         return options;
     }
 
-    // Calls use the core when they end, so they end before it does.
+    // Calls use the core when they end, so they must end before it is destroyed.
     void cut_channels()
     {
         std::vector<std::shared_ptr<caller_channel>> open;
@@ -215,14 +216,14 @@
         return nullptr;
     }
 
-    // A peer that tells what it has gets the rows of what differs; they are no whole list.
-    [[nodiscard]] coordination::directory_copy directory_for(std::string_view asked) const
+    // A peer that sends its digests gets the rows that differ; they are no complete list.
+    [[nodiscard]] coordination::directory_copy directory_for(std::string_view request_body) const
     {
         coordination::directory_copy copy;
         copy.evacuations = core_.directory.evacuations().known();
-        if (auto const parts = protocol::decode_bucket_digests(asked))
+        if (auto const digests = protocol::decode_bucket_digests(request_body))
         {
-            copy.members = core_.directory.rows_differing_from(parts.value());
+            copy.members = core_.directory.rows_differing_from(digests.value());
             return copy;
         }
         copy.revision = core_.list_revision;
@@ -331,7 +332,7 @@
                     {"connections", static_cast<std::int64_t>(channels_.size())}});
     }
 
-    // Addresses are fixed for a process's life; what may change are bounds.
+    // Addresses are fixed while the process runs; only limits and times may change.
     void reload()
     {
         auto const read = reread_();
--- a/src/transport/limit_tracker.cpp
+++ b/src/transport/limit_tracker.cpp
@@ -23,9 +23,9 @@
 std::int64_t per_minute(std::optional<double> per_second)
 {
     constexpr double seconds = 60.0;
-    // Beyond that no VM sends, and it can still be counted.
-    constexpr double most = 1e9;
-    return per_second ? std::llround(std::min(most, seconds * *per_second)) : -1;
+    // No VM sends more, and the result still fits its type.
+    constexpr double max_per_minute = 1e9;
+    return per_second ? std::llround(std::min(max_per_minute, seconds * *per_second)) : -1;
 }
 
 limit_tracker::limit_tracker(coordination::fleet_view const& fleet, state::node_id self,
--- a/src/transport/limit_tracker.hpp
+++ b/src/transport/limit_tracker.hpp
@@ -11,23 +11,23 @@
 #include <string_view>
 
 /// \file
-/// \brief What upstreams state that they take.
+/// \brief The request limits that upstreams state.
 
 namespace plumdale::transport
 {
 
-/// \brief Keeps the limits, logs what changes, and has peers told; on one loop.
+/// \brief Keeps the limits, logs their changes, and has them announced to peers; used on one loop.
 class limit_tracker
 {
 public:
     limit_tracker(coordination::fleet_view const& fleet, state::node_id self,
                   coordination::service_directory const& directory, decision_log& log);
 
-    /// \brief An upstream answered this VM, and stated this limit or none.
+    /// \brief Records that an upstream answered this VM and stated this limit or none.
     void answered(state::member_key member, std::optional<double> per_second);
-    /// \brief Takes what a peer tells.
+    /// \brief Applies the limits that a peer sent.
     void take(std::span<state::stated_limit const> received);
-    /// \brief Does what is due.
+    /// \brief Removes expired limits.
     void sweep();
 
     [[nodiscard]] coordination::upstream_limits& known() noexcept
@@ -39,7 +39,7 @@
         return known_;
     }
 
-    /// \brief Called when peers are to be told something.
+    /// \brief Called when there may be limits to announce to peers.
     std::function<void()> on_changed = [] {
     };
 
@@ -53,7 +53,7 @@
     coordination::upstream_limits known_;
 };
 
-/// \brief Returns a limit as lines and pages tell it: requests a minute, -1 where there is none.
+/// \brief Returns a limit as log lines and pages show it: requests per minute, -1 for none.
 [[nodiscard]] std::int64_t per_minute(std::optional<double> per_second);
 
 } // namespace plumdale::transport
--- a/src/transport/operations_page.cpp
+++ b/src/transport/operations_page.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::array<std::string_view, 3> kind_names{"idempotent", "non_idempotent", "streaming"};
 
-// Before anything of the platform was heard there is no age.
+// There is no age before this VM has data of the platform.
 json::value platform_age(forward_core const& core, state::time_point now)
 {
     return core.can_route() ? json::value{whole_milliseconds(core.platform_age(now))}
--- a/src/transport/operations_page.hpp
+++ b/src/transport/operations_page.hpp
@@ -5,7 +5,7 @@
 #include <string>
 
 /// \file
-/// \brief What a forwarding entry VM tells its operators, as JSON.
+/// \brief The status page of a forwarding entry VM, as JSON.
 
 namespace plumdale::transport
 {
--- a/src/transport/quarantine_tracker.cpp
+++ b/src/transport/quarantine_tracker.cpp
@@ -65,8 +65,9 @@
     return known_.refuses(request, boot_now());
 }
 
-// Peers are told of requests that were answered here with the next sweep, not at once: all VMs that
-// answered one hear of its upstream's end together, and one answer to that is enough.
+// Requests that were answered here are reported to peers with the next sweep, not at once: all VMs
+// that had such a request answered learn of an upstream's end under it at the same time, and one
+// report of an answer is enough.
 void quarantine_tracker::sweep()
 {
     known_.forget(boot_now());
--- a/src/transport/quarantine_tracker.hpp
+++ b/src/transport/quarantine_tracker.hpp
@@ -23,22 +23,23 @@
     std::string_view id;
 };
 
-/// \brief Keeps the quarantine, logs what it changes, and has peers told; on one loop.
+/// \brief Keeps the quarantine, logs its changes, and has them announced to peers; used on one
+/// loop.
 class quarantine_tracker
 {
 public:
     quarantine_tracker(decision_log& log, forward_metrics& metrics);
 
-    /// \brief The connection of an upstream that was sent the request ended before its answer.
+    /// \brief Records that an upstream's connection ended before it answered the request.
     void upstream_ended(request_attempt const& attempt, state::member_key member,
                         std::string_view name);
-    /// \brief An upstream answered the request whole.
+    /// \brief Records that an upstream answered the request completely.
     void answered(request_attempt const& attempt);
-    /// \brief Takes what a peer tells.
+    /// \brief Applies the evidence that a peer sent.
     void take(std::span<coordination::request_evidence const> received);
     /// \brief Returns whether a request is refused now.
     [[nodiscard]] bool refuses(state::request_digest request);
-    /// \brief Does what is due.
+    /// \brief Removes old evidence and announces what is not yet reported.
     void sweep();
 
     [[nodiscard]] coordination::request_quarantine& known() noexcept
@@ -50,7 +51,7 @@
         return known_;
     }
 
-    /// \brief Called when peers are to be told something.
+    /// \brief Called when there may be evidence to announce to peers.
     std::function<void()> on_changed = [] {
     };
 
--- a/src/transport/store_reader.cpp
+++ b/src/transport/store_reader.cpp
@@ -26,7 +26,7 @@
     return answer && answer.value().status == success;
 }
 
-// Pages are not one snapshot: changes since the first are heard from the watch.
+// Pages are not one snapshot: the watch reports changes since the first.
 void add_page(protocol::store_page& whole, protocol::store_page page)
 {
     whole.revision = whole.revision == 0 ? page.revision : whole.revision;
@@ -39,8 +39,9 @@
     whole.orders.insert(whole.orders.end(), page.orders.begin(), page.orders.end());
 }
 
-// A page that lags tells the store's revision of now with what was true some seconds ago. Taken as
-// of now, it would undo an order that peers told of; the newest thing in it is not too new.
+// A lagging page states the store's current revision, but its content is some seconds old. Dated by
+// that revision, it would undo an order received from peers; the newest revision in its content is
+// not too new.
 state::evacuations evacuations_in(protocol::store_page const& page,
                                   protocol::read_consistency consistency)
 {
@@ -89,7 +90,7 @@
     log_role_change(has_reader_role);
     if (!has_reader_role)
     {
-        // What this VM heard of the store gets old; it starts over when it reads again.
+        // This VM's view of the store becomes outdated; it starts over when it is a reader again.
         synced_ = false;
         has_configuration_ = false;
         last_call_failed_ = false;
@@ -109,8 +110,8 @@
     synced_ ? watch() : read_list(protocol::read_consistency::current, {});
 }
 
-// All of a fleet that lost power start together. What may lag is enough to serve by, costs a tenth,
-// and what came since is heard from the readers.
+// After a power loss the whole fleet starts at once. A read that may lag is enough to serve calls
+// and costs a tenth; the readers send what changed since.
 void store_reader::bootstrap()
 {
     bool const asks_first = core_.is_seed && !is_published_;
@@ -159,8 +160,8 @@
          { std::exchange(restart_pending_, false) ? step() : handler(answer); });
 }
 
-// Its revisions are given out again, so a watch that goes on would miss what was written between;
-// and it lacks for a while what was written since the copy.
+// A restored store assigns its revisions again, so a continued watch would miss what was written in
+// between; and for a while it lacks what was written since the copy.
 void store_reader::note_era(state::result<fetch_answer> const& answer)
 {
     auto const era = answer ? core_.dialect.read_era(answer.value().fields) : std::nullopt;
@@ -182,7 +183,7 @@
                                     protocol::read_consistency consistency)
 {
     using protocol::read_consistency;
-    auto const placed = [this, consistency](std::uint64_t revision)
+    auto const to_position = [this, consistency](std::uint64_t revision)
     {
         return consistency == read_consistency::current
                    ? position_tracker_.position_of(revision)
@@ -190,20 +191,20 @@
     };
     for (state::service_member& member : page.members)
     {
-        member.revision = placed(member.revision);
+        member.revision = to_position(member.revision);
     }
     for (protocol::unusable_entry& entry : page.unusable)
     {
-        entry.revision = placed(entry.revision);
+        entry.revision = to_position(entry.revision);
     }
     for (protocol::evacuation_order& order : page.orders)
     {
-        order.change.order.revision = placed(order.change.order.revision);
+        order.change.order.revision = to_position(order.change.order.revision);
     }
     page.revision = consistency == read_consistency::current
                         ? position_tracker_.current_position(page.revision)
                         : position_tracker_.lagging_position(page.revision);
-    page.newest_revision = placed(page.newest_revision);
+    page.newest_revision = to_position(page.newest_revision);
 }
 
 state::result<protocol::store_page>
@@ -257,8 +258,9 @@
 
 state::duration store_reader::spread(state::duration time)
 {
-    std::uniform_int_distribution<state::duration::rep> of{time.count() / 2, time.count()};
-    return state::duration{of(core_.random)};
+    std::uniform_int_distribution<state::duration::rep> distribution{time.count() / 2,
+                                                                     time.count()};
+    return state::duration{distribution(core_.random)};
 }
 
 std::size_t store_reader::other_requesters() const
@@ -280,9 +282,10 @@
              {"detail", answer ? std::to_string(answer.value().status) : answer.error().detail}});
     }
     schedule_step(spread(retry_delay_));
-    auto const sharing = static_cast<std::int64_t>(
+    auto const delay_factor = static_cast<std::int64_t>(
         std::max<std::size_t>(1, other_requesters() / max_full_rate_requesters));
-    retry_delay_ = std::min({retry_delay_ * 2, max_retry_delay * sharing, max_shared_retry_delay});
+    retry_delay_ =
+        std::min({retry_delay_ * 2, max_retry_delay * delay_factor, max_shared_retry_delay});
 }
 
 void store_reader::read_operator_entries(protocol::read_consistency consistency,
@@ -352,7 +355,7 @@
         });
 }
 
-// A read that may lag costs a tenth, and nearly always has what a peer already follows.
+// A read that may lag costs a tenth, and nearly always has the version that a peer already uses.
 void store_reader::read_newer(protocol::read_consistency consistency,
                               std::function<void()> const& on_not_newer)
 {
@@ -395,7 +398,7 @@
              }
              succeeded(consistency);
              protocol::store_page const& read = answered.value();
-             // Pages are not one snapshot: changes since the first are heard from the watch.
+             // Pages are not one snapshot: the watch reports changes since the first.
              list_revision_ = list_revision_ == 0 ? read.revision : list_revision_;
              listed_.insert(listed_.end(), read.members.begin(), read.members.end());
              unusable_.insert(unusable_.end(), read.unusable.begin(), read.unusable.end());
@@ -410,8 +413,8 @@
 void store_reader::apply_list(protocol::read_consistency consistency)
 {
     std::size_t const unreported = core_.unreported.size();
-    // What a store that came back from a copy lacks may be written again; what it still lacks when
-    // it is read once more is gone.
+    // What a store restored from a copy lacks may be written again; what it still lacks when it is
+    // read once more is gone.
     bool const is_complete = reread_at_ == state::never;
     core_.apply_list(listed_, unusable_, is_complete ? list_revision_ : 0, part);
     if (consistency == protocol::read_consistency::allow_stale)
@@ -423,7 +426,7 @@
     if (consistency == protocol::read_consistency::current)
     {
         synced_ = true;
-        // The configuration was read first; what came between is heard from the watch.
+        // The configuration was read first; the watch reports what changed in between.
         watch_revision_ = std::min(watch_revision_, state::revision_in(list_revision_));
     }
     step();
--- a/src/transport/store_reader.hpp
+++ b/src/transport/store_reader.hpp
@@ -25,10 +25,10 @@
     explicit store_reader(forward_core& core);
 
     void start();
-    /// \brief Reads the configuration once, also where this VM is no reader; `on_not_newer` is
-    /// called when the store does not give it.
+    /// \brief Reads the configuration once, even if this VM is no reader; calls `on_not_newer` if
+    /// the store does not give a newer one.
     void read_once(std::function<void()> on_not_newer);
-    /// \brief Returns when the store last answered well.
+    /// \brief Returns when the store last answered successfully.
     [[nodiscard]] state::time_point last_read() const noexcept
     {
         return last_read_;
@@ -40,31 +40,34 @@
         return last_call_failed_;
     }
 
-    /// \brief Upstreams write to the store several times a second and each write ends a wait, so
-    /// waits are spaced: each call is paid for, and a notice of departure lasts 1.5 s.
+    /// \brief Pause between two waits for changes: upstreams write to the store several times a
+    /// second and each write ends a wait, each call is paid for, and a notice of departure lasts
+    /// 1.5 s.
     static constexpr state::duration watch_pause = std::chrono::milliseconds{150};
     static constexpr state::duration watch_wait = std::chrono::milliseconds{600};
-    /// \brief Beyond the wait; the store answers in 4 ms, and 60 times later on a slow day.
+    /// \brief Time for an answer, beyond the wait; the store answers in 4 ms, or in 60 times that
+    /// when it is slow.
     static constexpr state::duration answer_timeout = std::chrono::milliseconds{700};
     static constexpr state::duration initial_retry_delay = std::chrono::milliseconds{150};
-    /// \brief Nothing is published before the first start; the seeds ask then, and tell the others.
+    /// \brief Before the first start nothing is published: the seeds retry at this interval and
+    /// inform the others.
     static constexpr state::duration unpublished_seed_retry_delay = std::chrono::milliseconds{400};
-    /// \brief ... who ask themselves this seldom, should no seed be there.
+    /// \brief Interval at which the other entry VMs retry then, in case there is no seed.
     static constexpr state::duration unpublished_peer_retry_delay = std::chrono::seconds{2};
     static constexpr state::duration max_retry_delay = std::chrono::milliseconds{900};
-    /// \brief Entry VMs that may ask a silent store at this pace; more ask more seldom in turn, so
-    /// that a store that returns isn't met by hundreds at once.
+    /// \brief Entry VMs that may retry an unresponsive store at the full rate; if there are more,
+    /// each retries less often, so that hundreds don't call a recovering store at once.
     static constexpr std::size_t max_full_rate_requesters = 8;
     static constexpr state::duration max_shared_retry_delay = std::chrono::seconds{6};
-    /// \brief How often an entry VM that is no reader looks whether it has to be one.
+    /// \brief How often an entry VM that is no reader checks whether it has to become one.
     static constexpr state::duration role_check_interval = std::chrono::milliseconds{100};
-    /// \brief Entry VMs that no peer gives a newer configuration read it within this time.
+    /// \brief Entry VMs that get a newer configuration from no peer read it within this time.
     static constexpr state::duration read_once_jitter = std::chrono::milliseconds{80};
-    /// \brief An outage this long may have let upstreams' entries lapse: three of their heartbeats
-    /// of 1.2 s, less one.
+    /// \brief An outage this long may have let upstreams' entries expire: they last three
+    /// heartbeats of 1.2 s, one of which may have passed before it.
     static constexpr state::duration expiry_outage = std::chrono::milliseconds{2'000};
-    /// \brief Time that operators and upstreams have to write again what a store that came back
-    /// from a copy has lost: three heartbeats of upstreams.
+    /// \brief Time for operators and upstreams to write again what a store restored from a copy has
+    /// lost: three heartbeats of upstreams.
     static constexpr state::duration rewrite_time = std::chrono::milliseconds{3'600};
 
 private:
@@ -80,7 +83,7 @@
     void read_newer(protocol::read_consistency consistency,
                     std::function<void()> const& on_not_newer);
     void call(std::string target, state::duration timeout, fetch_handler handler);
-    /// \brief Calls the store, and starts over instead of `handler` where it has come back from a
+    /// \brief Calls the store; starts over instead of calling `handler` if it was restored from a
     /// copy.
     void read(std::string target, state::duration timeout, fetch_handler handler);
     void note_era(state::result<fetch_answer> const& answer);
@@ -100,12 +103,12 @@
     std::vector<state::service_member> listed_;
     std::vector<protocol::unusable_entry> unusable_;
     std::uint64_t list_revision_ = 0;
-    /// \brief Pages read so far of what the operators wrote, as one.
+    /// \brief The operators' entries read so far, with their pages merged.
     protocol::store_page operator_entries_;
     coordination::store_position_tracker position_tracker_;
     /// \brief The store's own revision from which it is watched.
     std::uint64_t watch_revision_ = 0;
-    /// \brief When all is read once more after the store came back from a copy.
+    /// \brief When everything is read once more after the store was restored from a copy.
     state::time_point reread_at_ = state::never;
     bool restart_pending_ = false;
     state::time_point last_read_{};
