--- a/src/transport/call_admission.cpp
+++ b/src/transport/call_admission.cpp
@@ -14,14 +14,15 @@
 
 using state::error_kind;
 
-// Without a configuration nothing is known of keys and routes; it comes within milliseconds of the
-// store's or a peer's answer.
+// Keys and routes are unknown until a configuration arrives, milliseconds after the store or a peer
+// answers.
 constexpr state::duration unconfigured_retry_after = std::chrono::milliseconds{300};
 
-// Until then the balancer may not have noticed, and calls that begin end within the usual grace of
-// 8 s.
+// The balancer may still send calls for this long after the shutdown began; calls that start by
+// then end within the usual grace period of 8 s.
 constexpr state::duration admit_while_closing = std::chrono::seconds{3};
-// The process ends 0.15 s before its grace does, and looks every 50 ms whether it may.
+// The process stops 0.15 s before its grace period ends, and checks every 50 ms whether it may
+// stop.
 constexpr state::duration final_answer_margin = std::chrono::milliseconds{300};
 
 std::string_view without_port(std::string_view host)
@@ -34,9 +35,9 @@
     return target.substr(0, target.find('?'));
 }
 
-// A call that this process takes and does not live to answer is lost: its caller can't know whether
-// it ran. Streams outlast the grace unless they begin early in it; plain calls end by their route's
-// time.
+// A call that this process accepts but can't answer before it stops is lost: its caller can't know
+// whether it ran. Streams outlast the grace period unless they start early in it; plain calls end
+// by their route's timeout.
 bool outlasts_shutdown(forward_core const& core, admitted_call const& admitted)
 {
     if (core.closing_since == state::never)
@@ -50,7 +51,7 @@
     return closing > admit_while_closing && (streams || outlasts);
 }
 
-/// \brief Why a call is turned away, and what its caller is told.
+/// \brief Why a call is rejected, and the error that its caller receives.
 struct rejection
 {
     error_kind kind;
@@ -121,17 +122,17 @@
     admitted_call admitted;
     admitted.call = std::move(call);
     admitted.terms = core.dialect.read_call(admitted.call.head);
-    if (auto const away = resolve_call(core, admitted))
+    if (auto const rejected = resolve_call(core, admitted))
     {
         core.log.write("call", "turned away", admitted.terms.id,
-                       {{"why", away->why},
-                        {"status", state::answer_for(away->kind).status},
+                       {{"why", rejected->why},
+                        {"status", state::answer_for(rejected->kind).status},
                         {"configuration",
                          core.routing == nullptr
                              ? 0
                              : static_cast<std::int64_t>(core.routing->configuration().version)}});
         core.metrics.add(forward_count::refused);
-        channel->refuse(away->kind, unconfigured_retry_after);
+        channel->refuse(rejected->kind, unconfigured_retry_after);
         return nullptr;
     }
     admitted.request = request_digest_of(admitted);
--- a/src/transport/forward_call.cpp
+++ b/src/transport/forward_call.cpp
@@ -16,7 +16,7 @@
 using coordination::call_result;
 
 constexpr state::duration min_retry_after = std::chrono::milliseconds{250};
-// Callers that were refused together come back spread over this time.
+// Retries of callers that were refused together are spread over this time.
 constexpr state::duration retry_after_jitter = std::chrono::milliseconds{500};
 
 } // namespace
@@ -54,13 +54,12 @@
     {
         return refuse_quarantined();
     }
-    bool const looks_again = is_waiting_ && admitted_.service->engine;
-    auto chosen = select_upstream(looks_again ? waiting_candidates
-                                              : coordination::selection_options::sampled_candidates,
-                                  now);
-    // Calls that wait look at the same moments; those that come, or are at the end of their wait,
-    // do not, and hear of each other's starts in between.
-    if (!chosen && (!looks_again || now >= wait_until_))
+    bool const is_recheck = is_waiting_ && admitted_.service->engine;
+    auto chosen = select_upstream(
+        is_recheck ? waiting_candidates : coordination::selection_options::sampled_candidates, now);
+    // Only new calls and calls at the end of their wait examine many upstreams: unlike waiting
+    // calls they select at different moments, and receive each other's loads in between.
+    if (!chosen && (!is_recheck || now >= wait_until_))
     {
         chosen = select_upstream(coordination::selection_options::thorough_candidates, now);
     }
@@ -68,24 +67,24 @@
     {
         return open_exchange(*chosen);
     }
-    // An operator's order lasts for longer than a caller waits.
+    // An operator's order of evacuation lasts longer than a caller waits.
     if (core_.directory.is_wholly_evacuated(admitted_.service->name, now))
     {
         return refuse(may_have_run() ? state::error_kind::may_have_run
                                      : state::error_kind::no_upstream,
                       "all zones with upstreams are evacuated");
     }
-    wait_or_refuse(blocking_limit_ != coordination::admission_limit::none || looks_again, now);
+    wait_or_refuse(blocking_limit_ != coordination::admission_limit::none || is_recheck, now);
 }
 
 std::optional<state::member_key> forward_call::select_upstream(std::size_t candidates,
                                                                state::time_point now)
 {
-    coordination::selection_options terms;
-    terms.preferred_zone = core_.selector.own_zone();
-    terms.excluded = excluded_;
-    terms.candidates = candidates;
-    auto const chosen = core_.selector.choose(*admitted_.service, admitted_.demand, terms, now);
+    coordination::selection_options options;
+    options.preferred_zone = core_.selector.own_zone();
+    options.excluded = excluded_;
+    options.candidates = candidates;
+    auto const chosen = core_.selector.choose(*admitted_.service, admitted_.demand, options, now);
     if (!chosen)
     {
         return std::nullopt;
@@ -157,19 +156,19 @@
 
 protocol::system_headers forward_call::make_system_headers(state::time_point now) const
 {
-    protocol::system_headers terms;
-    terms.time_left = admitted_.deadline - now;
-    terms.member = member_name();
+    protocol::system_headers headers;
+    headers.time_left = admitted_.deadline - now;
+    headers.member = member_name();
     if (admitted_.customer != nullptr)
     {
-        terms.customer = admitted_.customer->name;
+        headers.customer = admitted_.customer->name;
     }
-    return terms;
+    return headers;
 }
 
-// What goes on with a generation is lost if it can't, and no more of them come to an upstream than
-// have room there: they go beyond this VM's share of what a cold one bears, or of what one in need
-// takes, and are counted there.
+// A generation is lost if its resumption can't be sent, and an upstream gets no more resumptions
+// than it has memory for. They may exceed this VM's share of what a cold upstream may get or of a
+// stated limit, and they count towards both.
 bool forward_call::may_send(state::time_point now) const
 {
     coordination::directory_entry const* const entry = core_.directory.find(member_);
@@ -184,8 +183,8 @@
 std::optional<std::string> forward_call::request()
 {
     state::time_point const now = boot_now();
-    // Connecting took time, and the process may have been paused meanwhile: what was true when the
-    // upstream was chosen is looked at again before anything leaves.
+    // Connecting took time, and the process may have been paused meanwhile: the conditions under
+    // which the upstream was chosen are checked again before anything is sent.
     if (!may_send(now))
     {
         return std::nullopt;
@@ -253,8 +252,8 @@
     {
         core_.directory.note_cold(member_, *answer_.cold_for, boot_now());
     }
-    // A refusal says nothing of a limit that it doesn't state, and another start's answer nothing
-    // at all.
+    // A refusal that states no limit doesn't mean that there is none, and an answer of another
+    // incarnation says nothing of this one's limit.
     bool const is_statement = answer_.request_limit || !answer_.not_run;
     if (is_statement && !answer_.misdirected && !has_mismatched_id())
     {
@@ -279,7 +278,7 @@
     return has_head_ && end == exchange_end::whole && (answer_.not_run || answer_.misdirected);
 }
 
-// Upstreams that leave end their connections too, and that says nothing of what they ran.
+// Leaving upstreams end their connections too, which is no evidence against their requests.
 void forward_call::note_evidence(exchange_end end)
 {
     request_attempt const attempt{admitted_.request, admitted_.terms.id};
@@ -288,10 +287,10 @@
     {
         return core_.quarantine.answered(attempt);
     }
-    auto const since = runs_since();
-    bool const is_suspect = !since || boot_now() - *since <= suspected_for;
-    bool const leaves = core_.departures.find(member_) != nullptr;
-    if (end == exchange_end::broken && is_suspect && !leaves)
+    auto const running_since = runs_since();
+    bool const is_suspect = !running_since || boot_now() - *running_since <= suspected_for;
+    bool const is_leaving = core_.departures.find(member_) != nullptr;
+    if (end == exchange_end::broken && is_suspect && !is_leaving)
     {
         core_.quarantine.upstream_ended(attempt, member_, member_name());
     }
@@ -310,7 +309,7 @@
     }
     if (has_mismatched_id())
     {
-        // The answer to an earlier call came late, on a connection that was thought to be idle.
+        // The answer to an earlier call came late, on a connection that was considered idle.
         core_.metrics.add(forward_count::answers_discarded);
         return retry_or_refuse("answer to another call");
     }
@@ -401,7 +400,7 @@
     }
 }
 
-// A plain call ends before news of it would arrive, so only generations are told.
+// A plain call ends before an update on it would arrive, so only generations are announced.
 void forward_call::announce_load(state::member_key member)
 {
     if (admitted_.service->engine)
--- a/src/transport/forward_call.hpp
+++ b/src/transport/forward_call.hpp
@@ -20,7 +20,7 @@
 namespace plumdale::transport
 {
 
-/// \brief What was decided of a call before it is sent anywhere.
+/// \brief A call, with the decisions made before it is sent to an upstream.
 struct admitted_call
 {
     received_call call;
@@ -33,20 +33,20 @@
     /// \brief The same for all attempts of a caller at this request.
     state::request_digest request;
     coordination::call_demand demand;
-    /// \brief When its caller, or its route, gives it up.
+    /// \brief When the time of its caller or of its route is over, whichever is first.
     state::time_point deadline{};
-    /// \brief It has less time than others of its route had from the start: it was refused before.
+    /// \brief It has less time left than first attempts on its route, so it was refused before.
     bool is_retry = false;
 };
 
-/// \brief Admits a call and starts it; refuses it through the channel and returns null otherwise.
+/// \brief Admits a call and starts it, or refuses it through the channel and returns null.
 [[nodiscard]] std::shared_ptr<call_handler>
 start_call(forward_core& core, std::shared_ptr<caller_channel> const& channel, received_call call);
 
-/// \brief Sends a call to one upstream after another as far as it may be repeated.
+/// \brief Sends a call to one upstream after another, as long as it may be retried.
 ///
-/// What may have run is told by the exchanges: no byte sent, or the upstream's own statement, mean
-/// that it did not run. All else may have run, and is never refused as not run.
+/// The exchanges report whether a call may have run. It did not run if no byte was sent or the
+/// upstream says so; in all other cases it may have run, and is never refused as not run.
 class forward_call : public call_handler,
                      public exchange_sink,
                      public std::enable_shared_from_this<forward_call>
@@ -64,43 +64,44 @@
     void on_head(protocol::message_head const& head, protocol::body_framing framing) override;
     void on_end(exchange_end end) final;
 
-    /// \brief Upstreams that could not be reached, or refused, before a call is given up.
+    /// \brief Upstreams that are unreachable or refuse a call before it is refused to its caller.
     static constexpr std::uint32_t try_limit = 6;
     /// \brief An idempotent call is sent to a second upstream when the first takes this many times
-    /// the objective; a late answer earns less than a third.
+    /// the objective; a late answer is worth less than a third.
     static constexpr int slow_answer_factor = 3;
-    /// \brief Kept connections that were idle for longer are not used for calls that may not run
-    /// twice: one that the upstream closes at that moment leaves in doubt whether it ran.
+    /// \brief Longest idle time of a kept connection for a call that may not run twice: if the
+    /// upstream closes it at that moment, it is unknown whether the call ran.
     static constexpr state::duration non_idempotent_max_idle = std::chrono::milliseconds{400};
     static constexpr state::duration idempotent_max_idle = std::chrono::seconds{10};
-    /// \brief Upstreams that a waiting call looks at at a time. All that wait see what becomes free
-    /// at the same moment; looking at the best of eight, four to seven of them met there within 50
-    /// ms.
+    /// \brief Upstreams that a waiting call examines at a time. All waiting calls see free capacity
+    /// at the same moment: when each examined eight, four to seven of them chose the same one
+    /// within 50 ms.
     static constexpr std::size_t waiting_candidates = 1;
-    /// \brief Waiting for an upstream to appear, as a part of the objective: callers that are told
-    /// at once come back in time.
+    /// \brief Divisor of the objective that gives the longest wait for an upstream: callers that
+    /// are refused early can retry in time.
     static constexpr int wait_divisor = 8;
     static constexpr state::duration wait_step = std::chrono::milliseconds{25};
-    /// \brief A request that an upstream has run for longer isn't what ended it: one that does so
-    /// does it as it is begun. Many others run there at that moment.
+    /// \brief A request is suspected only if its upstream ends within this time of starting it: a
+    /// request that ends its upstream does so at its start, and the many others that run there are
+    /// not the cause.
     static constexpr state::duration suspected_for = std::chrono::seconds{5};
 
 protected:
-    /// \brief What is passed on with the next send.
+    /// \brief Returns the headers to add to the next send.
     [[nodiscard]] virtual protocol::system_headers make_system_headers(state::time_point now) const;
-    /// \brief The exchange ended, in whatever way.
+    /// \brief Called when the exchange ended, in whatever way.
     virtual void exchange_ended(exchange_end end);
-    /// \brief Returns since when the upstream has been seen to run the call; none before.
+    /// \brief Returns when the upstream was first seen to run the call; none before.
     [[nodiscard]] virtual std::optional<state::time_point> runs_since() const
     {
         return std::nullopt;
     }
-    /// \brief The answer ended, and may be passed on or judged.
+    /// \brief Called when an answer ended, complete or not, that may be forwarded or judged.
     virtual void answer_ended(exchange_end end) = 0;
-    /// \brief The call's time is over.
+    /// \brief Called when the call's time is over.
     virtual void on_timeout() = 0;
     virtual void on_timer(state::time_point now);
-    /// \brief Returns what keeps the call from the best upstream there is, if anything.
+    /// \brief Returns the limit that keeps the call from the best upstream, if any.
     [[nodiscard]] virtual coordination::admission_limit
     limit_for(coordination::selected_upstream const& best, state::time_point now) const;
     /// \brief Returns how long a call may wait here until an upstream can take it.
@@ -108,7 +109,7 @@
     /// \brief Returns when `on_timer` is due besides the deadline.
     [[nodiscard]] virtual state::time_point next_deadline() const;
 
-    /// \brief Returns whether what is sent goes on with what ran elsewhere.
+    /// \brief Returns whether the next send resumes a generation that ran elsewhere.
     [[nodiscard]] virtual bool is_resumption() const
     {
         return false;
@@ -127,22 +128,23 @@
     }
 
     void dispatch();
-    /// \brief Notes the best of about so many upstreams; returns it if the call may be sent there.
+    /// \brief Records the best of about `candidates` upstreams; returns it if the call may be sent
+    /// there.
     [[nodiscard]] std::optional<state::member_key> select_upstream(std::size_t candidates,
                                                                    state::time_point now);
     [[nodiscard]] bool may_send(state::time_point now) const;
     void wait_or_refuse(bool at_capacity, state::time_point now);
     void open_exchange(state::member_key member);
     void redispatch(std::string_view why);
-    /// \brief The upstream failed after it may have run the call.
+    /// \brief Retries or refuses the call after its upstream failed and may have run it.
     void retry_or_refuse(std::string_view why);
     void refuse(state::error_kind kind, std::string_view why);
-    /// \brief Returns whether the request is refused wherever it is sent.
+    /// \brief Returns whether the request is quarantined, so that it is sent to no upstream.
     [[nodiscard]] bool is_quarantined() const;
-    /// \brief Stops everything; the channel has been answered or is gone.
+    /// \brief Ends the call; the channel has been answered or is gone.
     void finish();
     void close_exchange();
-    /// \brief Counts a load of this call out again, if it is counted in.
+    /// \brief Removes a load of this call from the ledger, if it was added.
     void drop_load(coordination::member_load& load);
     void announce_load(state::member_key member);
     void arm_timer();
@@ -152,7 +154,7 @@
     {
         return possible_runs_ > 0;
     }
-    /// \brief Returns when a caller that is refused now had best come back.
+    /// \brief Returns how long a caller that is refused now should wait before it retries.
     [[nodiscard]] virtual state::duration retry_after();
     [[nodiscard]] std::vector<protocol::header_field> answer_fields() const;
     [[nodiscard]] std::string_view member_name() const;
@@ -171,10 +173,10 @@
     protocol::body_framing framing_ = protocol::body_framing::none;
     state::time_point sent_at_{};
     state::time_point first_sent_at_{};
-    /// \brief The best upstream of the last look that found any, whether the call went there or
-    /// not.
+    /// \brief The best upstream of the last selection that found any, whether the call was sent
+    /// there or not.
     coordination::selected_upstream best_;
-    /// \brief What kept the call from it.
+    /// \brief The limit that kept the call from it.
     coordination::admission_limit blocking_limit_ = coordination::admission_limit::none;
     state::time_point wait_until_{};
     state::time_point retry_at_ = state::never;
@@ -183,7 +185,7 @@
     /// \brief Sends that may have run.
     std::uint32_t possible_runs_ = 0;
     bool is_waiting_ = false;
-    /// \brief The upstream was taken for cold when the call was sent.
+    /// \brief The upstream counted as cold when the call was sent.
     bool is_cold_ = false;
     bool has_head_ = false;
     bool finished_ = false;
@@ -192,7 +194,7 @@
     void on_deadline_timer();
     void refuse(state::error_kind kind, std::string_view why, state::duration retry_after);
     void refuse_quarantined();
-    /// \brief Notes what the end of the exchange says of the request itself.
+    /// \brief Records the evidence on the request that the end of its exchange gives.
     void note_evidence(exchange_end end);
     [[nodiscard]] bool has_mismatched_id() const;
     [[nodiscard]] bool is_refused_by_upstream(exchange_end end) const;
--- a/src/transport/forward_call_log.cpp
+++ b/src/transport/forward_call_log.cpp
@@ -5,7 +5,7 @@
 #include <plumdale/protocol/generation_text.hpp>
 #include <plumdale/state/store_position.hpp>
 
-// What a call's lines tell of it.
+// Log lines of a call.
 
 namespace plumdale::transport
 {
--- a/src/transport/plain_call.cpp
+++ b/src/transport/plain_call.cpp
@@ -16,7 +16,7 @@
 
 void plain_call::on_head(protocol::message_head const& head, protocol::body_framing framing)
 {
-    // What a discarded answer left must not stand in front of this one's body.
+    // The body of a discarded answer must not precede this one's.
     body_.clear();
     forward_call::on_head(head, framing);
 }
@@ -30,7 +30,8 @@
 {
     if (end != exchange_end::whole)
     {
-        // One that ended with its connection may have been cut short: that can't be told apart.
+        // An answer that ended with its connection may have been cut short, which can't be
+        // detected.
         return retry_or_refuse(end == exchange_end::unconfirmed ? "answer of unknown length"
                                                                 : "connection broke");
     }
--- a/src/transport/plain_call.hpp
+++ b/src/transport/plain_call.hpp
@@ -10,8 +10,8 @@
 namespace plumdale::transport
 {
 
-/// \brief Holds the answer back until it is whole, so that a spoiled one is never passed on and an
-/// idempotent call can be sent once more instead.
+/// \brief Buffers the answer until it is complete, so that a damaged one is never forwarded and an
+/// idempotent call can be retried instead.
 class plain_call final : public forward_call
 {
 public:
--- a/src/transport/stream_call.cpp
+++ b/src/transport/stream_call.cpp
@@ -39,15 +39,15 @@
 
 protocol::system_headers stream_call::make_system_headers(state::time_point now) const
 {
-    protocol::system_headers terms = forward_call::make_system_headers(now);
+    protocol::system_headers headers = forward_call::make_system_headers(now);
     constexpr std::uint32_t least_urgent = 9;
     std::uint32_t const rank = admitted_.customer != nullptr && admitted_.customer->priority
                                    ? *admitted_.customer->priority
                                    : admitted_.route->priority;
-    terms.priority = std::min(rank, least_urgent);
-    terms.resumed = resume_from_;
-    terms.backup = backup_address_;
-    return terms;
+    headers.priority = std::min(rank, least_urgent);
+    headers.resumed = resume_from_;
+    headers.backup = backup_address_;
+    return headers;
 }
 
 admission_request stream_call::make_admission_request(state::time_point now) const
@@ -66,12 +66,12 @@
     {
         return admission_limit::none;
     }
-    admission_request const asks = make_admission_request(now);
-    // The mean walks all upstreams; only those that yield depend on it.
-    double const mean = yields_to_first_attempts(asks)
+    admission_request const attempt = make_admission_request(now);
+    // Computing the mean iterates over all upstreams; only calls that yield depend on it.
+    double const mean = yields_to_first_attempts(attempt)
                             ? core_.selector.mean_fullness(*admitted_.service, now)
                             : 0.0;
-    return coordination::limit_for(asks, {best.fullness, mean, best.time_to_first_event});
+    return coordination::limit_for(attempt, {best.fullness, mean, best.time_to_first_event});
 }
 
 state::duration stream_call::longest_wait() const
@@ -114,19 +114,19 @@
 
 void stream_call::forward_events()
 {
-    std::string passed;
+    std::string chunk;
     while (auto event = events_.next())
     {
-        // After a resumption an upstream may repeat what the caller has.
+        // After a resumption an upstream may repeat events that the caller has.
         if (event->id && *event->id <= last_event_id_ && begun_)
         {
             continue;
         }
         last_event_id_ = event->id.value_or(last_event_id_ + 1);
         ++events_forwarded_;
-        passed += event->text;
+        chunk += event->text;
     }
-    if (passed.empty())
+    if (chunk.empty())
     {
         return;
     }
@@ -159,7 +159,7 @@
     }
     last_progress_ = now;
     begin_answer();
-    channel_->send_chunk(passed);
+    channel_->send_chunk(chunk);
     if (channel_->is_full())
     {
         exchange_->pause(true);
@@ -171,7 +171,7 @@
     }
 }
 
-// A resumption reads only what its copy lacks.
+// A resumption processes only the tokens that its copy lacks.
 std::uint32_t stream_call::pending_prefill_tokens() const
 {
     return resume_from_ ? 0 : admitted_.demand.prompt_tokens;
--- a/src/transport/stream_call.hpp
+++ b/src/transport/stream_call.hpp
@@ -16,8 +16,8 @@
 namespace plumdale::transport
 {
 
-/// \brief Passes whole events on as they come, each once and in order, across the upstreams on
-/// which the generation runs one after another.
+/// \brief Forwards whole events as they arrive, each once and in order, across the upstreams that
+/// run the generation one after another.
 class stream_call final : public forward_call, public departure_listener
 {
 public:
@@ -33,17 +33,17 @@
     void on_member_restarted(state::member_key member) override;
     void on_zone_evacuated(state::zone_id zone) override;
 
-    /// \brief Events after which the load told to peers is brought up to date.
+    /// \brief Events after which the load reported to peers is updated.
     static constexpr std::uint32_t events_per_update = 16;
-    /// \brief Time of one token until this generation's own is known: a step takes 7 ms and 0.12 ms
-    /// for each other one, and prompts are read in between.
+    /// \brief Time per token until this generation's own is known: a step takes 7 ms and 0.12 ms
+    /// for each other generation, and prompts are processed in between.
     static constexpr state::duration default_token_time = std::chrono::milliseconds{12};
-    /// \brief Added to a destination in another zone: a copy across takes twice the link's time,
-    /// and some eight leave an upstream one after another within one notice. Another zone is taken
-    /// where the own one has no room.
+    /// \brief Penalty of a destination in another zone: a copy across zones takes twice the link's
+    /// time, and some eight leave an upstream one after another within one notice. Another zone is
+    /// used if the own one has no capacity.
     static constexpr double other_zone_destination_penalty = 1.0;
-    /// \brief Callers give a stream up after a silence of this long at least, four objectives or
-    /// eight allowed pauses; work beyond that is for nobody.
+    /// \brief A caller abandons a stream after a silence of the longest of this time, four
+    /// objectives and eight allowed gaps; work beyond that is wasted.
     static constexpr state::duration min_silence_timeout = std::chrono::seconds{2};
     static constexpr int silence_timeout_objectives = 4;
     static constexpr int silence_timeout_gaps = 8;
@@ -108,11 +108,11 @@
     state::time_point last_progress_{};
     /// \brief Memory held for the backup, at the upstream that keeps it.
     coordination::member_load backup_load_;
-    /// \brief ... and for a copy that was ordered, at its destination.
+    /// \brief Memory held for an ordered copy, at its destination.
     coordination::member_load copy_load_;
     std::optional<state::endpoint> backup_address_;
     state::time_point first_event_at_{};
-    /// \brief ... of the run at this upstream.
+    /// \brief First event of the run at this upstream.
     state::time_point run_began_at_{};
     state::duration longest_gap_{};
     bool streaming_ = false;
--- a/src/transport/stream_failover.cpp
+++ b/src/transport/stream_failover.cpp
@@ -10,8 +10,8 @@
 #include <array>
 #include <utility>
 
-// How a stream's generation is backed up, copied and resumed; what is passed to the caller is in
-// stream_call.cpp.
+// Backup, copies and resumption of a stream's generation; stream_call.cpp forwards its events to
+// the caller.
 
 namespace plumdale::transport
 {
@@ -24,7 +24,7 @@
 constexpr unsigned not_found = 404;
 constexpr unsigned conflict = 409;
 constexpr unsigned unavailable = 503;
-// First copies wait behind others on their link for as long as a notice lasts.
+// First copies may queue behind others on their link for as long as a notice lasts.
 constexpr std::chrono::milliseconds copy_timeout{2'500};
 
 copy_refusal refusal_of(state::result<fetch_answer> const& answer)
@@ -48,20 +48,20 @@
 
 } // namespace
 
-// -- survival -------------------------------------------------------------------------------------
+// -- notifications --------------------------------------------------------------------------------
 
 void stream_call::on_member_leaving(state::member_key member, departure const& when)
 {
-    // A generation without an event has nothing to copy: its upstream knows of none. Ordered every
-    // 50 ms until the first event, copies that were refused told peers of load that never came. It
-    // is looked at again at the first event.
+    // A generation without an event has nothing to copy: its upstream doesn't know it yet. Copies
+    // ordered every 50 ms until the first event were refused, and announced load to peers that
+    // never came. The departure is checked again at the first event.
     bool const runs = begun_ && !resuming_;
-    bool const concerns = !finished_ && exchange_ != nullptr && member == member_ && runs &&
-                          admitted_.service->engine && admitted_.service->engine->live_migration;
+    bool const is_affected = !finished_ && exchange_ != nullptr && member == member_ && runs &&
+                             admitted_.service->engine && admitted_.service->engine->live_migration;
     on_backup_leaving(member);
-    // One that ends before its upstream is gone would only hold up the copies of others.
+    // A generation that ends before its upstream is gone would only delay the copies of others.
     bool const outlives = expected_remaining_time(boot_now()) > departure_time(when) - boot_now();
-    if (!concerns || !outlives)
+    if (!is_affected || !outlives)
     {
         return;
     }
@@ -95,8 +95,9 @@
     apply(actions);
 }
 
-// The connection of an upstream that started again may stay silent until the caller gives up, while
-// the backup waits elsewhere. Its former start works on nothing, so going on runs nothing twice.
+// The connection of a restarted upstream may stay silent until the caller gives up, although a
+// backup exists elsewhere. The former incarnation runs nothing any more, so a resumption runs
+// nothing twice.
 void stream_call::on_member_restarted(state::member_key member)
 {
     auto const self = shared_from_this();
@@ -111,11 +112,11 @@
     on_end(sent ? exchange_end::broken : exchange_end::not_sent);
 }
 
-// A backup there could be kept, but nothing may be sent there to go on from it.
+// A backup in the zone could be kept, but no resumption may be sent there.
 void stream_call::on_zone_evacuated(state::zone_id zone)
 {
-    directory_entry const* const keeper = core_.directory.find(backup_load_.member);
-    if (keeper != nullptr && state::id_from_name<state::zone_id>(keeper->info.zone) == zone)
+    directory_entry const* const holder = core_.directory.find(backup_load_.member);
+    if (holder != nullptr && state::id_from_name<state::zone_id>(holder->info.zone) == zone)
     {
         on_backup_leaving(backup_load_.member);
     }
@@ -132,18 +133,23 @@
     return *failover_;
 }
 
-// The caller's hint is right at the median. An answer that has passed it is taken to go on for half
-// of what it has: lengths vary by more than their mean.
+// The caller's hint is right at the median. An answer that exceeds it is expected to continue for
+// half of its length so far: lengths vary by more than their mean.
 state::duration stream_call::expected_remaining_time(state::time_point now) const
 {
-    std::uint32_t const made = tokens_held() - admitted_.demand.prompt_tokens;
-    std::uint32_t const hinted = admitted_.demand.output_tokens;
-    std::uint32_t const left = std::max(hinted > made ? hinted - made : 0U, made / 2);
-    state::duration const each =
-        made == 0 ? default_token_time : (now - first_event_at_) / static_cast<std::int64_t>(made);
-    // The first events may come together, and a stop between two upstreams is not the pace.
-    return static_cast<std::int64_t>(left) *
-           std::clamp<state::duration>(each, default_token_time / 2, 4 * default_token_time);
+    std::uint32_t const generated_tokens = tokens_held() - admitted_.demand.prompt_tokens;
+    std::uint32_t const hinted_tokens = admitted_.demand.output_tokens;
+    std::uint32_t const remaining_tokens =
+        std::max(hinted_tokens > generated_tokens ? hinted_tokens - generated_tokens : 0U,
+                 generated_tokens / 2);
+    state::duration const token_time =
+        generated_tokens == 0
+            ? default_token_time
+            : (now - first_event_at_) / static_cast<std::int64_t>(generated_tokens);
+    // The first events may arrive together, and a pause between two upstreams is not the token
+    // rate.
+    return static_cast<std::int64_t>(remaining_tokens) *
+           std::clamp<state::duration>(token_time, default_token_time / 2, 4 * default_token_time);
 }
 
 // -- backups --------------------------------------------------------------------------------------
@@ -168,9 +174,9 @@
     directory_entry const* const source = core_.directory.find(member_);
     std::array<state::member_key, 1> const excluded{member_};
     call_demand const demand{tokens_held(), admitted_.demand.output_tokens};
-    selection_options const terms{source == nullptr ? core_.selector.own_zone() : source->info.zone,
-                                  excluded};
-    auto const chosen = core_.selector.choose(service, demand, terms, boot_now());
+    selection_options const options{
+        source == nullptr ? core_.selector.own_zone() : source->info.zone, excluded};
+    auto const chosen = core_.selector.choose(service, demand, options, boot_now());
     if (!chosen || !has_capacity_for_backup(chosen->fullness))
     {
         return;
@@ -180,7 +186,7 @@
     core_.ledger.add(backup_load_.member, backup_load_);
 }
 
-// Counted on from the first event, unless its upstream left before.
+// The backup is used from the first event on, unless its upstream left before.
 void stream_call::note_backup()
 {
     if (backup_load_.calls != 0)
@@ -211,9 +217,9 @@
 {
     directory_entry const* const entry = core_.directory.find(source);
     call_demand const demand{load_.tokens, admitted_.demand.output_tokens};
-    selection_options const terms{entry == nullptr ? core_.selector.own_zone() : entry->info.zone,
-                                  excluded, other_zone_destination_penalty};
-    auto const chosen = core_.selector.choose(*admitted_.service, demand, terms, boot_now());
+    selection_options const options{entry == nullptr ? core_.selector.own_zone() : entry->info.zone,
+                                    excluded, other_zone_destination_penalty};
+    auto const chosen = core_.selector.choose(*admitted_.service, demand, options, boot_now());
     return chosen ? std::optional{chosen->member} : std::nullopt;
 }
 
@@ -333,7 +339,7 @@
     fetch(core_.context, std::move(request),
           [&log = core_.log, id = admitted_.terms.id](state::result<fetch_answer> const& answer)
           {
-              // The copy is freed by its lifetime otherwise.
+              // If the release fails, the copy is freed when its lifetime ends.
               if (!answer)
               {
                   log.write("call", "release failed", id, {{"detail", answer.error().detail}});
--- a/src/transport/upstream_exchange.cpp
+++ b/src/transport/upstream_exchange.cpp
@@ -85,8 +85,8 @@
     net::async_write(*socket_, net::buffer(request_),
                      [self = shared_from_this()](error_code error, std::size_t)
                      {
-                         // A failed write shows as the end of the reading too, behind an answer
-                         // that the upstream gave before it read everything.
+                         // A failed write also ends the reading, after any answer that the upstream
+                         // sent before it read everything.
                          self->written_ = !error;
                      });
     read();
@@ -183,8 +183,8 @@
 {
     exchange_sink* const sink = std::exchange(sink_, nullptr);
     timer_.cancel();
-    // Bytes behind the answer belong to no call, and an upstream that answered before it read the
-    // whole body still reads: neither connection may carry another call.
+    // Bytes after the answer belong to no call, and an upstream that answered before it read the
+    // whole body is still reading it: neither connection may carry another call.
     bool const reusable = end == exchange_end::whole && options_.keep && written_ && !closes_ &&
                           reader_.unconsumed().empty();
     if (reusable)
--- a/src/transport/upstream_exchange.hpp
+++ b/src/transport/upstream_exchange.hpp
@@ -24,14 +24,15 @@
 enum class exchange_end : std::uint8_t
 {
     whole,           ///< The answer ended as its framing says.
-    unconfirmed,     ///< It ended with the connection, in order; a break can look the same.
+    unconfirmed,     ///< It ended when the connection was closed; a lost one can look the same.
     unreachable,     ///< No connection: nothing was sent.
     not_sent,        ///< `exchange_sink::request` declined: nothing was sent.
     broken,          ///< The upstream ended the connection first.
-    invalid_or_lost, ///< It sent what is no answer, or the path to it is gone.
+    invalid_or_lost, ///< It sent no valid answer, or the path to it is lost.
 };
 
-/// \brief Who sent the call. Called on the loop, not after `upstream_exchange::cancel()`.
+/// \brief Provides the request of an exchange and receives its answer. Called on the loop, not
+/// after `upstream_exchange::cancel()`.
 class exchange_sink
 {
 public:
@@ -40,14 +41,14 @@
     exchange_sink& operator=(exchange_sink const&) = delete;
     virtual ~exchange_sink() = default;
 
-    /// \brief Returns the whole request, made at the last moment; none to send nothing after all.
+    /// \brief Returns the complete request, made at the last moment; none to send nothing.
     virtual std::optional<std::string> request() = 0;
     virtual void on_head(protocol::message_head const& head, protocol::body_framing framing) = 0;
     virtual void on_body(std::string bytes) = 0;
     virtual void on_end(exchange_end end) = 0;
 };
 
-/// \brief Connects or takes a kept connection, writes, reads; keeps the connection when it may.
+/// \brief Opens or reuses a connection, writes, reads; keeps the connection if it may.
 class upstream_exchange : public std::enable_shared_from_this<upstream_exchange>
 {
 public:
@@ -56,7 +57,7 @@
         state::member_key member;
         state::endpoint address;
         bool without_body = false;
-        /// \brief Longest idle time of a kept connection; zero for a new one always.
+        /// \brief Longest idle time of a kept connection; zero to always open a new one.
         state::duration max_idle{};
         /// \brief Keeps the connection afterwards.
         bool keep = true;
@@ -66,13 +67,13 @@
                       exchange_sink& sink);
 
     void start();
-    /// \brief Ends the exchange; closes the connection, from which most upstreams stop the work.
+    /// \brief Ends the exchange and closes the connection, at which most upstreams stop the work.
     void cancel();
-    /// \brief Stops and goes on reading, while the caller takes no more.
+    /// \brief Pauses reading while the caller accepts no more, and resumes it.
     void pause(bool paused);
-    /// \brief How long the upstream keeps the idle connection, from its answer's head.
+    /// \brief Sets how long the upstream keeps the idle connection, from its answer's head.
     void keep_alive(std::optional<state::duration> time, bool closes);
-    /// \brief Returns whether a byte of the request may have left.
+    /// \brief Returns whether a byte of the request may have been sent.
     [[nodiscard]] bool sent() const noexcept
     {
         return sent_;
@@ -82,12 +83,12 @@
         return reused_;
     }
 
-    /// \brief An upstream in another zone answers within 3 ms; one whose queue of connections is
-    /// full drops the first packet, which is sent again after a second: too late to wait for.
+    /// \brief An upstream in another zone answers within 3 ms; one whose accept queue is full drops
+    /// the first packet, which is retransmitted after a second: too late to wait for.
     static constexpr auto connect_timeout = std::chrono::milliseconds{350};
-    /// \brief Unacknowledged bytes for this long mean that the path is gone.
+    /// \brief After this long with unacknowledged bytes the path counts as lost.
     static constexpr unsigned user_timeout_ms = 3'000;
-    /// \brief Heads of upstreams' answers.
+    /// \brief Largest head of an upstream's answer in bytes.
     static constexpr std::uint32_t head_limit = 16 * 1024;
     static constexpr std::uint64_t body_limit = 64ULL * 1024 * 1024;
 
--- a/src/transport/upstream_pool.cpp
+++ b/src/transport/upstream_pool.cpp
@@ -10,13 +10,13 @@
 namespace
 {
 
-// An end, or bytes that no request asked for, such as an extra answer: the next answer read on such
-// a connection would not be that of the next call.
+// A closed connection is not reused, nor one with bytes that no request asked for, such as an extra
+// answer: the next answer read on it would not be that of the next call.
 bool is_reusable(tcp::socket& socket)
 {
     char byte = 0;
-    ssize_t const got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    ssize_t const received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 } // namespace
--- a/src/transport/upstream_pool.hpp
+++ b/src/transport/upstream_pool.hpp
@@ -20,32 +20,33 @@
 {
     tcp::socket socket;
     state::time_point idle_since{};
-    /// \brief How long it may be idle and still be sent on.
+    /// \brief How long it may be idle and still be reused.
     state::duration usable_time{};
 };
 
-/// \brief Idle connections by upstream incarnation, never by address alone: addresses are used
-/// again by other upstreams.
+/// \brief Idle connections by upstream incarnation, never by address alone: other upstreams may
+/// reuse an address.
 class upstream_pool
 {
 public:
-    /// \brief Returns an idle connection that shows no sign of its end, or none. With
-    /// `max_idle` it has not been idle for longer.
+    /// \brief Returns an idle connection that shows no sign of closure and was idle for less than
+    /// `max_idle`; null if there is none.
     [[nodiscard]] std::unique_ptr<tcp::socket>
     take(state::member_key member, state::duration max_idle, state::time_point now);
-    /// \brief Keeps a connection whose last exchange ended in order.
+    /// \brief Keeps a connection whose last exchange was complete.
     void keep(state::member_key member, tcp::socket socket, state::duration keep_alive,
               state::time_point now);
-    /// \brief Closes what was idle for too long.
+    /// \brief Closes connections that were idle for too long.
     void sweep(state::time_point now);
     void drop(state::member_key member);
 
-    /// \brief Idle time of upstreams that state none.
+    /// \brief Keep-alive time of upstreams that state none.
     static constexpr state::duration default_keep_alive = std::chrono::seconds{2};
-    /// \brief Part of the stated idle time that is used: the upstream's clock starts earlier, and
-    /// some close sooner than they say.
+    /// \brief Divisor of the stated idle time that gives the time used: the upstream's timer starts
+    /// earlier, and some close sooner than they state.
     static constexpr int keep_alive_divisor = 3;
-    /// \brief Idle connections kept for one upstream; all callers share what one takes.
+    /// \brief Most idle connections kept for one upstream; all callers share those that one
+    /// upstream accepts.
     static constexpr std::size_t max_idle_connections = 8;
 
 private:
