--- a/include/plumdale/coordination/evacuation_orders.hpp
+++ b/include/plumdale/coordination/evacuation_orders.hpp
@@ -30,7 +30,7 @@
     /// \brief Applies the whole set as of a revision; returns the changes, none if the known set is
     /// as new.
     std::vector<state::evacuation_change> merge(state::evacuations const& received,
-                                               state::time_point now);
+                                                state::time_point now);
     /// \brief Applies the changes up to revision `as_of`, which follow a known revision; returns
     /// those that took effect.
     std::vector<state::evacuation_change>
--- a/include/plumdale/coordination/load_ledger.hpp
+++ b/include/plumdale/coordination/load_ledger.hpp
@@ -52,8 +52,9 @@
     /// \brief Applies a peer's rows. With `is_complete`, the peer has no calls at members without a
     /// row. An update with an old sequence number of the same incarnation is dropped; another
     /// incarnation replaces all rows of the peer.
-    void apply_update(state::node_id peer, state::incarnation incarnation_number, std::uint64_t sequence,
-              bool is_complete, std::span<member_load const> rows, state::time_point now);
+    void apply_update(state::node_id peer, state::incarnation incarnation_number,
+                      std::uint64_t sequence, bool is_complete, std::span<member_load const> rows,
+                      state::time_point now);
     /// \brief Drops peers without a message for `silence`: the calls of an entry VM that died end
     /// at the upstreams with its connections.
     void forget_silent(state::time_point now, state::duration silence);
--- a/include/plumdale/coordination/overflow_limit.hpp
+++ b/include/plumdale/coordination/overflow_limit.hpp
@@ -51,7 +51,7 @@
     /// \brief Returns the largest projection over the horizon points, mean plus deviations, as a
     /// fraction of the memory.
     [[nodiscard]] double projected_fullness(engine_forecast const& engine,
-                              load_forecast const& candidate) const noexcept;
+                                            load_forecast const& candidate) const noexcept;
 
     /// \brief Returns the learnt factor on the memory limit.
     [[nodiscard]] double factor() const noexcept;
@@ -63,7 +63,7 @@
     /// larger one. A question ends before growing drafts could displace it, so later points don't
     /// count for it.
     [[nodiscard]] static double near_term_fullness(engine_forecast const& engine,
-                                          load_forecast const& candidate) noexcept;
+                                                   load_forecast const& candidate) noexcept;
 
     double factor_ = 1.0;
     double answers_ = 0.0;
--- a/include/plumdale/protocol/http_reader.hpp
+++ b/include/plumdale/protocol/http_reader.hpp
@@ -35,7 +35,7 @@
 {
     head,     ///< The head is not complete yet.
     body,     ///< The head is complete, the body is not.
-    complete,    ///< The message is complete; bytes after its end were not consumed.
+    complete, ///< The message is complete; bytes after its end were not consumed.
     malformed ///< The bytes are not an HTTP message, or an ambiguous or oversized one.
 };
 
--- a/src/coordination/overflow_limit.cpp
+++ b/src/coordination/overflow_limit.cpp
@@ -105,7 +105,8 @@
     {
         return capacity_status::batch_full;
     }
-    double const used = is_draft ? projected_fullness(engine, candidate) : near_term_fullness(engine, candidate);
+    double const used =
+        is_draft ? projected_fullness(engine, candidate) : near_term_fullness(engine, candidate);
     double const limit = share * (is_draft ? factor_ * (1.0 - headroom_) : question_fill_limit);
     return used <= limit ? capacity_status::free : capacity_status::memory_full;
 }
