--- a/include/plumdale/transport/daemon.hpp
+++ b/include/plumdale/transport/daemon.hpp
@@ -21,9 +21,10 @@
 /// \brief How `daemon::run` ended.
 struct daemon_outcome
 {
-    /// \brief Requests still in flight when the drain's bound ran out; they were cut.
+    /// \brief Requests still in flight when the drain limit expired; they were aborted.
     std::uint32_t in_flight = 0;
-    /// \brief Peers know a later uptime than this one's: start again with a greater incarnation.
+    /// \brief Set when peers know a newer incarnation of this VM: the process must restart with a
+    /// greater one.
     std::optional<state::incarnation> replaced_by;
 };
 
@@ -31,7 +32,7 @@
 class daemon
 {
 public:
-    /// \brief `incarnation_floor`: the incarnation of this uptime is greater.
+    /// \brief Creates a daemon whose incarnation is greater than `incarnation_floor`.
     daemon(protocol::daemon_settings settings, policy_selector choose_policy,
            state::incarnation incarnation_floor = {});
     daemon(daemon const&) = delete;
@@ -41,7 +42,7 @@
     /// \brief Opens the sockets; a port of zero is chosen by the system. Fails with
     /// `connection_failed` when an address is taken.
     [[nodiscard]] state::result<void> open();
-    /// \brief Returns the settings with the endpoints that were opened. After `open()`.
+    /// \brief Returns the settings with the endpoints that were opened. Call after `open()`.
     [[nodiscard]] protocol::daemon_settings const& settings() const;
     /// \brief Serves until a drain has finished. Call after `open()`.
     daemon_outcome run();
--- a/include/plumdale/transport/log.hpp
+++ b/include/plumdale/transport/log.hpp
@@ -22,7 +22,7 @@
     json
 };
 
-/// \brief Sets where the threshold is and how lines look; standard error gets them.
+/// \brief Sets the lowest level that is logged and the line format. Lines go to standard error.
 void initialize_log(log_level threshold, log_format format);
 
 /// \brief Writes one short sentence under a part's prefix, such as `callers` or `members`.
--- a/src/transport/admin_pages.cpp
+++ b/src/transport/admin_pages.cpp
@@ -93,7 +93,8 @@
 
 admin_pages::row const* admin_pages::find(page_request const& request)
 {
-    // A switch is guarded by the control plane, which knows the operators of the configuration.
+    // The control plane authorizes a switch, as it knows the operators that the configuration
+    // lists.
     static constexpr std::array<row, 7> rows{{
         {"GET", "/health", &admin_pages::health, false},
         {"GET", "/metrics", &admin_pages::metrics, false},
@@ -136,7 +137,7 @@
     return true;
 }
 
-// Digests are compared, in constant time: how long it takes tells nothing of the key.
+// Digests are compared in constant time, so that the duration reveals nothing about the key.
 bool admin_pages::is_operator(page_request const& request) const
 {
     auto const expected = protocol::parse_digest(settings_.operator_key_sha256);
--- a/src/transport/admin_pages.hpp
+++ b/src/transport/admin_pages.hpp
@@ -23,7 +23,7 @@
     admin_pages(coordination::entry_node& node, protocol::daemon_settings const& settings,
                 control_runner& control, std::span<std::unique_ptr<worker> const> workers);
 
-    /// \brief Returns false when the path is no page.
+    /// \brief Returns false when the path isn't a page.
     [[nodiscard]] bool handle(page_request const& request, page_callback const& answer);
 
 private:
--- a/src/transport/answer_sink.hpp
+++ b/src/transport/answer_sink.hpp
@@ -3,12 +3,13 @@
 #include <plumdale/coordination/request_actions.hpp>
 
 /// \file
-/// \brief What answers go to.
+/// \brief The interface through which answers are delivered.
 
 namespace plumdale::transport
 {
 
-/// \brief A waiting caller: an HTTP exchange, or a peer that relays. Called on its own thread.
+/// \brief A waiting caller: an HTTP exchange, or a relaying peer. Called on the caller's own
+/// thread.
 class answer_sink
 {
 public:
--- a/src/transport/beast_request_view.hpp
+++ b/src/transport/beast_request_view.hpp
@@ -6,12 +6,12 @@
 #include <boost/beast/http/string_body.hpp>
 
 /// \file
-/// \brief What the codec needs of a Beast request.
+/// \brief A view of the parts of a Beast request that the codec reads.
 
 namespace plumdale::transport
 {
 
-/// \brief Returns views of a request's parts; they hold while the request is alive.
+/// \brief Returns views of a request's parts; they are valid while the request is alive.
 [[nodiscard]] protocol::http_request_view
 make_request_view(boost::beast::http::request<boost::beast::http::string_body> const& request);
 
--- a/src/transport/boot_clock.hpp
+++ b/src/transport/boot_clock.hpp
@@ -11,8 +11,8 @@
 namespace plumdale::transport
 {
 
-/// \brief Returns the time since boot, suspension included: callers' time runs on meanwhile, so a
-/// VM that wakes must not send what they gave up.
+/// \brief Returns the time since boot, including suspension. Callers' timeouts continue during a
+/// suspension, so a resumed VM must not send requests that their callers have abandoned.
 [[nodiscard]] inline state::time_point boot_now() noexcept
 {
     timespec boot{};
@@ -21,7 +21,7 @@
                              std::chrono::nanoseconds{boot.tv_nsec}};
 }
 
-/// \brief Returns how long a timer has to run until `when`; a day when it never comes.
+/// \brief Returns the delay of a timer that expires at `when`, at most 24 hours.
 [[nodiscard]] inline std::chrono::steady_clock::duration time_until(state::time_point when) noexcept
 {
     constexpr state::duration longest = std::chrono::hours{24};
--- a/src/transport/caller_channel.cpp
+++ b/src/transport/caller_channel.cpp
@@ -17,8 +17,8 @@
 using boost::system::error_code;
 using protocol::header_field;
 
-// After the last answer the caller's bytes are read off, so that its copy of the answer is not
-// destroyed by a reset.
+// After the last answer the caller's bytes are read and discarded for this long: with unread bytes,
+// closing would reset the connection and the caller could lose the answer.
 constexpr state::duration linger_time = std::chrono::seconds{1};
 
 protocol::http_reader new_reader(state::caller_limits const& limits)
@@ -128,7 +128,7 @@
     std::string const* const connection = call.head.find("Connection");
     close_requested_ = connection != nullptr && protocol::has_token(*connection, "close");
     is_head_request_ = call.head.method == "HEAD";
-    // An answer may be given before the handler is known here, and the next call begun.
+    // make_handler_ may answer the call before it returns, and the next call may begin.
     std::uint64_t const serial = ++call_count_;
     std::shared_ptr<call_handler> handler = make_handler_(shared_from_this(), std::move(call));
     if (stage_ == stage::in_call && serial == call_count_)
@@ -300,7 +300,7 @@
     }
 }
 
-// -- time and end ---------------------------------------------------------------------------------
+// -- timeouts and closing -------------------------------------------------------------------------
 
 void caller_channel::arm_timer(state::duration time)
 {
--- a/src/transport/caller_channel.hpp
+++ b/src/transport/caller_channel.hpp
@@ -24,7 +24,7 @@
 
 class caller_channel;
 
-/// \brief One call as it was read whole.
+/// \brief A completely received call.
 struct received_call
 {
     protocol::message_head head;
@@ -33,7 +33,7 @@
     state::time_point read_at{};
 };
 
-/// \brief What handles a call; told once if its caller leaves first.
+/// \brief Handles one call.
 class call_handler
 {
 public:
@@ -42,24 +42,27 @@
     call_handler& operator=(call_handler const&) = delete;
     virtual ~call_handler() = default;
 
+    /// \brief Called once if the caller disconnects before its answer has ended.
     virtual void on_caller_disconnected() = 0;
-    /// \brief The caller's buffer has room again.
+    /// \brief Called after a write when the caller's send buffer isn't full.
     virtual void on_caller_ready() = 0;
 };
 
-/// \brief Makes the handler of a call. Answers through the channel, at once or later.
+/// \brief Creates the handler of a call. The handler answers through the channel, immediately or
+/// later.
 using call_handler_factory =
     std::function<std::shared_ptr<call_handler>(std::shared_ptr<caller_channel>, received_call)>;
 
-/// \brief What a channel asks of its owner at each step.
+/// \brief Settings that a channel reads from its owner each time it needs them.
 struct channel_options
 {
     state::caller_limits limits;
-    /// \brief The entry VM leaves: answers ask the caller to close.
+    /// \brief The entry VM is leaving: answers carry `Connection: close`.
     bool closing = false;
 };
 
-/// \brief Reads calls one after another, watches for the caller's end, writes answers in order.
+/// \brief Reads calls one at a time, detects that the caller disconnects, and writes answers in
+/// order.
 class caller_channel : public std::enable_shared_from_this<caller_channel>
 {
 public:
@@ -67,36 +70,36 @@
                    call_handler_factory start, std::function<void(caller_channel&)> on_closed);
 
     void start();
-    /// \brief Closes at once, whatever is in progress.
+    /// \brief Closes the connection immediately, also during a call.
     void cut();
 
     // -- answers ------------------------------------------------------------
-    /// \brief Sends a whole answer; fields that frame it are added.
+    /// \brief Sends a complete answer and adds the header fields that frame its body.
     void answer(unsigned status, std::string_view reason,
                 std::vector<protocol::header_field> const& fields, std::string_view body);
-    /// \brief Sends an answer of the system's own, by the table of errors.
+    /// \brief Sends an error answer as the error table defines it.
     void refuse(state::error_kind kind, state::duration retry_delay);
     /// \brief Begins an answer of unknown length.
     void begin(unsigned status, std::string_view reason,
                std::vector<protocol::header_field> const& fields);
     void send_chunk(std::string_view bytes);
-    /// \brief Ends a begun answer as whole.
+    /// \brief Ends a begun answer as complete.
     void end();
-    /// \brief Ends a begun answer so that it does not look whole, or closes without one.
+    /// \brief Closes the connection, so that a begun answer is seen to be incomplete.
     void abort_answer();
 
-    /// \brief Returns whether more than a bounded amount waits for the caller to read.
+    /// \brief Returns whether more than `buffer_limit` bytes wait to be sent.
     [[nodiscard]] bool is_full() const noexcept
     {
         return pending_.size() + sending_.size() > buffer_limit;
     }
 
-    /// \brief Bytes for a slow reader above which its upstream is not read: two seconds of a
-    /// stream's events.
+    /// \brief Bytes waiting for a slow caller above which its upstream is not read: two seconds of
+    /// a stream's events.
     static constexpr std::size_t buffer_limit = 64UL * 1024;
-    /// \brief Bytes of further calls that are read ahead while one is in progress.
+    /// \brief Bytes of pipelined calls that are read ahead while one is in progress.
     static constexpr std::size_t max_read_ahead = 32UL * 1024;
-    /// \brief A caller that takes nothing for this long is let go.
+    /// \brief The connection of a caller that acknowledges nothing for this long is closed.
     static constexpr unsigned user_timeout_ms = 10'000;
 
 private:
--- a/src/transport/caller_session.cpp
+++ b/src/transport/caller_session.cpp
@@ -68,7 +68,7 @@
 
     void deliver(coordination::send_head const& head) override
     {
-        // Only a stream has a head of its own; a whole answer's comes with the answer.
+        // Only a streamed answer sends its head separately; any other sends it with its body.
         if (streamed_ && !std::exchange(head_sent_, true))
         {
             append_stream_head(writer_.pending(), head, closing_);
@@ -108,7 +108,8 @@
 
     // -- reading ------------------------------------------------------------------------------
 
-    // A head that trickles in holds a connection; its time is bounded as a whole.
+    // A head that arrives byte by byte holds a connection, so the time for the whole head is
+    // bounded.
     void read_header()
     {
         socket_.expires_after(context_.limits.read_timeout);
@@ -127,9 +128,10 @@
 
     void on_malformed(error_code error)
     {
-        bool const ours =
+        bool const is_http_error =
             error.category() == http::make_error_code(http::error::bad_method).category();
-        if (!ours || error == http::error::end_of_stream || error == http::error::partial_message)
+        if (!is_http_error || error == http::error::end_of_stream ||
+            error == http::error::partial_message)
         {
             return leave();
         }
@@ -200,9 +202,10 @@
                      now());
     }
 
-    // While an answer is on its way the end of the connection must be seen, or an engine would go
-    // on working for a caller that has left. A next request that is already there is kept, up to
-    // the bound of a head; beyond it the connection is no longer watched, and fails when written.
+    // While an answer is pending, the end of the connection must be detected, or an engine would go
+    // on working for a caller that has disconnected. Bytes of the next request are kept, up to the
+    // header limit; beyond it the connection is no longer watched, and its end is seen when a write
+    // fails.
     void watch_for_disconnect()
     {
         if (std::exchange(watching_, true))
@@ -222,17 +225,17 @@
             return;
         }
         error_code failed = error;
-        std::size_t const there = failed ? 0 : socket_.socket().available(failed);
-        if (failed || there == 0)
+        std::size_t const available_bytes = failed ? 0 : socket_.socket().available(failed);
+        if (failed || available_bytes == 0)
         {
             return on_caller_disconnected();
         }
-        if (buffer_.size() + there > context_.limits.header)
+        if (buffer_.size() + available_bytes > context_.limits.header)
         {
             closing_ = true;
             return;
         }
-        buffer_.commit(socket_.socket().read_some(buffer_.prepare(there), failed));
+        buffer_.commit(socket_.socket().read_some(buffer_.prepare(available_bytes), failed));
         failed ? on_caller_disconnected() : watch_for_disconnect();
     }
 
@@ -341,8 +344,8 @@
     }
 
     // A connection that is closed while the caller still sends is reset by the system, and the
-    // caller loses the answer with it. So what comes is read and dropped until the caller ends too,
-    // or the time that a request may take is over.
+    // caller loses the answer. Input is therefore read and discarded until the caller closes its
+    // side or the read timeout expires.
     void finish()
     {
         error_code ignored;
--- a/src/transport/caller_session.hpp
+++ b/src/transport/caller_session.hpp
@@ -28,7 +28,7 @@
     std::chrono::milliseconds keep_alive_timeout{60'000};
     /// \brief How long a head, and then a body, may take from its first byte to its last.
     std::chrono::milliseconds read_timeout{10'000};
-    /// \brief How long the caller may take nothing of what waits for it.
+    /// \brief How long the caller may read nothing while data waits to be sent.
     std::chrono::milliseconds stalled{60'000};
 };
 
@@ -40,7 +40,7 @@
     std::string body;
 };
 
-/// \brief What a page's request says.
+/// \brief The parts of a page's request.
 struct page_request
 {
     std::string_view method;
@@ -51,8 +51,8 @@
 
 using page_callback = std::function<void(page)>;
 
-/// \brief Answers paths that are no generations, on any thread. Returns false when the path is not
-/// one of its own; else calls `answer` once, from any thread.
+/// \brief Answers requests for pages; may be called from any thread. Returns false when the path
+/// isn't a page; otherwise calls `answer` once, from any thread.
 using page_handler = std::function<bool(page_request const& request, page_callback const& answer)>;
 
 /// \brief What the sessions of one worker share.
@@ -61,14 +61,14 @@
     request_sink& requests;
     page_handler const& pages;
     session_limits limits;
-    /// \brief Names customers for the burn report.
+    /// \brief Identifies customers for the error budget report.
     coordination::cached_reader<coordination::fleet_snapshot> fleet;
 };
 
 /// \brief Serves one connection on its worker's thread until it ends.
 void serve_caller(worker& caller_worker, session_context& context, tcp::socket socket);
 
-/// \brief Answers a connection above the limit on connections, and ends it.
+/// \brief Refuses a connection above the connection limit with an answer, and closes it.
 void refuse_caller(tcp::socket socket);
 
 } // namespace plumdale::transport
--- a/src/transport/caller_writer.cpp
+++ b/src/transport/caller_writer.cpp
@@ -11,7 +11,7 @@
 
 using boost::system::error_code;
 
-// A stream that was held up once keeps no large buffer for the rest of its life.
+// Frees a large buffer, so that a stream that was blocked once does not keep it until it ends.
 void release_memory(std::string& buffer)
 {
     constexpr std::size_t max_kept_bytes = 4096;
@@ -74,8 +74,8 @@
     owner_.on_empty();
 }
 
-// A caller that takes nothing for long would hold the connection and its buffers for ever. One
-// timer a connection looks now and then whether anything was written since.
+// A caller that reads nothing would hold the connection and its buffers indefinitely. One timer per
+// connection checks periodically whether a write has completed since the last check.
 void caller_writer::watch_for_stall()
 {
     if (std::exchange(is_stall_timer_armed_, true))
--- a/src/transport/caller_writer.hpp
+++ b/src/transport/caller_writer.hpp
@@ -20,11 +20,11 @@
 {
     /// \brief Bytes waiting above which the upstream should be paused.
     std::uint32_t buffer;
-    /// \brief Longest time in which a caller may take nothing.
+    /// \brief Longest time in which a caller may read nothing.
     std::chrono::milliseconds stalled;
 };
 
-/// \brief Told what becomes of what was written, on the connection's thread.
+/// \brief Receives the results of writes, on the connection's thread.
 class writer_owner
 {
 public:
@@ -33,34 +33,35 @@
     writer_owner& operator=(writer_owner const&) = delete;
     virtual ~writer_owner() = default;
 
-    /// \brief More waits than the bound, or it has been sent.
+    /// \brief Called with true when more bytes wait than the limit, with false when they have been
+    /// sent.
     virtual void on_blocked(bool blocked) = 0;
-    /// \brief So many bytes were sent.
+    /// \brief Called after each write with the number of bytes that it sent.
     virtual void on_sent(std::size_t bytes) = 0;
-    /// \brief Nothing waits any more.
+    /// \brief Called when everything has been sent.
     virtual void on_empty() = 0;
-    /// \brief The connection ended, or the caller took nothing for too long.
+    /// \brief Called when the connection has failed, or the caller has read nothing for too long.
     virtual void on_connection_failed() = 0;
     /// \brief Keeps the connection alive while a write is under way.
     [[nodiscard]] virtual std::shared_ptr<writer_owner> keep_alive() = 0;
 };
 
-/// \brief Sends text in order, several pieces at a time, and watches a caller that reads slowly.
+/// \brief Sends text in order, several pieces per write, and detects a caller that reads slowly.
 class caller_writer
 {
 public:
     caller_writer(tcp::socket& socket, writer_limits limits, writer_owner& owner);
 
-    /// \brief Returns the text that waits, to append to; `flush()` sends it.
+    /// \brief Returns the unsent text for appending; `flush()` sends it.
     [[nodiscard]] std::string& pending() noexcept
     {
         return pending_;
     }
-    /// \brief Sends what waits, unless a write is under way: then it follows that one.
+    /// \brief Sends the unsent text, or has it sent after the write that is in progress.
     void flush();
-    /// \brief Tells the owner when more waits than the bound.
+    /// \brief Notifies the owner when the unsent text exceeds the limit.
     void check_buffer_limit();
-    /// \brief Ends the watch over the caller; no write is begun any more.
+    /// \brief Stops stall detection. No write may begin afterwards.
     void close();
 
 private:
--- a/src/transport/content_source.hpp
+++ b/src/transport/content_source.hpp
@@ -5,12 +5,12 @@
 #include <functional>
 
 /// \file
-/// \brief Where peers' requests for configuration values are answered.
+/// \brief The interface that answers peers' requests for configuration values.
 
 namespace plumdale::transport
 {
 
-/// \brief Takes a peer's wish to the control plane; any thread may call.
+/// \brief Passes a peer's request to the control plane; any thread may call.
 class content_source
 {
 public:
--- a/src/transport/control_runner.cpp
+++ b/src/transport/control_runner.cpp
@@ -20,7 +20,7 @@
 
 using udp = net::ip::udp;
 
-// Beyond the time that a watch may wait at the service.
+// Added to the time for which the service may hold a watch.
 constexpr auto answer_timeout = std::chrono::seconds{2};
 constexpr unsigned stale_fence_status = 409;
 
@@ -106,7 +106,8 @@
 {
     ++metrics_.platform_calls;
     request.address = settings_.platform;
-    // A watch waits long; on a kept connection gone silent it would wait for nothing.
+    // A watch is a long poll: on a kept connection that was silently lost, it would wait its whole
+    // timeout in vain. So every call uses a new connection.
     fetch(context_, std::move(request),
           [this, handler = std::move(handler)](state::result<fetch_answer> const& answer)
           {
@@ -213,7 +214,7 @@
                    { on_order(upstream, answer); });
 }
 
-// An engine that refuses an old number says which order it follows, too.
+// An engine that rejects a stale fence also returns the order that it follows.
 void control_runner::on_order(state::upstream_id upstream,
                               state::result<fetch_answer> const& answer)
 {
@@ -240,8 +241,7 @@
                                       {
                                           return;
                                       }
-                                      // Other errors tell of an earlier send to a port where nobody
-                                      // listens.
+                                      // Other errors report an earlier send to a closed port.
                                       if (!error)
                                       {
                                           on_datagram(bytes);
@@ -320,7 +320,7 @@
     }
 }
 
-// Called from the link itself, which must not end under its own feet.
+// Called from the link's own callbacks, so the link is destroyed later, from the event loop.
 void control_runner::close_content_link(std::uint64_t fetch)
 {
     net::post(context_,
@@ -355,7 +355,7 @@
     }
 }
 
-// -- operators and life ---------------------------------------------------------------------------
+// -- operators and shutdown -----------------------------------------------------------------------
 
 void control_runner::request_switch(coordination::operator_switch wanted, switch_handler answer)
 {
--- a/src/transport/control_runner.hpp
+++ b/src/transport/control_runner.hpp
@@ -23,12 +23,12 @@
 namespace plumdale::transport
 {
 
-/// \brief What the control plane's decisions mean for the process.
+/// \brief Callbacks for decisions of the control plane that concern the whole process.
 struct control_hooks
 {
     std::function<void(coordination::drain_finished)> drained;
     std::function<void(coordination::incarnation_replaced)> replaced;
-    /// \brief The process did not run for that long.
+    /// \brief Called with the time for which the process did not run.
     std::function<void(state::duration)> paused;
 };
 
@@ -43,11 +43,12 @@
                    link_settings const& links, control_hooks hooks);
     ~control_runner() override;
 
-    /// \brief Starts the timers and hears datagrams.
+    /// \brief Starts the timers and the receipt of datagrams.
     void start();
     /// \brief Passes an event on; any thread may call.
     void post(coordination::control_event event);
-    /// \brief Asks for a switch; any thread may call. `answer` is called on the control thread.
+    /// \brief Requests a preset switch; any thread may call. `answer` is called on the control
+    /// thread.
     void request_switch(coordination::operator_switch wanted, switch_handler answer);
     void request(state::content_ref wanted, answer_handler answer) override;
 
--- a/src/transport/daemon.cpp
+++ b/src/transport/daemon.cpp
@@ -35,9 +35,9 @@
     return (static_cast<std::uint64_t>(device()) << 32U) | device();
 }
 
-// A later start of the same VM must have a greater incarnation, though the VM keeps nothing: the
-// wall clock gives that unless it is set back by more than the time between two starts; then peers
-// tell the newest they know, and the process starts above it.
+// A later start of the same VM must have a greater incarnation, though the VM stores nothing. The
+// wall clock ensures this unless it is set back by more than the time between two starts; then
+// peers report the newest incarnation they know, and the process restarts above it.
 state::incarnation new_incarnation(state::incarnation floor)
 {
     auto const wall = std::chrono::system_clock::now().time_since_epoch();
@@ -49,8 +49,8 @@
 
 struct daemon::sockets
 {
-    // The loops of the workers outlive that of the control plane: an accept that is still waiting
-    // when the process ends holds a socket of a worker's loop, and is destroyed with the latter.
+    // The workers' loops outlive the control plane's: an accept that is pending when the process
+    // ends holds a socket of a worker's loop, and is destroyed with the control plane's loop.
     std::vector<std::unique_ptr<net::io_context>> workers;
     net::io_context control{1};
     tcp::acceptor callers{control};
@@ -129,7 +129,7 @@
     }
 
 private:
-    // -- parts --------------------------------------------------------------------------------
+    // -- components ---------------------------------------------------------------------------
 
     [[nodiscard]] std::vector<std::unique_ptr<worker>> make_workers(sockets& sockets) const
     {
@@ -207,9 +207,9 @@
              : serve_caller(caller_worker, *session_contexts_[index], std::move(socket));
     }
 
-    // -- life ---------------------------------------------------------------------------------
+    // -- shutdown -----------------------------------------------------------------------------
 
-    // A second signal changes nothing: what is in flight is never cut by impatience.
+    // A second signal changes nothing: repeated signals never abort requests in flight.
     void wait_for_signal()
     {
         signals_.async_wait(
@@ -240,7 +240,7 @@
                           [&caller_worker = *each] { caller_worker.interrupt_callers(); });
             }
         }
-        // What was answered last is still in buffers: its callers' sockets get a moment.
+        // The last answers may still be in send buffers: drain_linger is the time to send them.
         stop_timer_.expires_after(
             std::chrono::duration_cast<std::chrono::milliseconds>(settings_.drain_linger));
         stop_timer_.async_wait([this](error_code) { context_.stop(); });
@@ -294,7 +294,8 @@
 
 daemon::~daemon() = default;
 
-// Sockets first: the system chooses ports, and an entry VM's identity comes from its endpoint.
+// The sockets are opened first: the system may choose the ports, and an entry VM's identity is
+// derived from its endpoint.
 state::result<void> daemon::open()
 {
     sockets_ = std::make_unique<sockets>();
--- a/src/transport/engine_stream.cpp
+++ b/src/transport/engine_stream.cpp
@@ -27,10 +27,10 @@
 constexpr std::size_t read_buffer_bytes = 4096;
 constexpr auto connect_timeout = std::chrono::seconds{2};
 constexpr std::uint64_t max_stream_bytes = 256ULL * 1024 * 1024;
-// A plain call's answer is held whole.
+// The answer to a plain call is buffered completely.
 constexpr std::uint64_t max_call_bytes = 16ULL * 1024 * 1024;
 
-/// \brief Speaks the engines' HTTP protocol, or passes a plain call on.
+/// \brief Implements the engines' HTTP protocol, or forwards a plain call.
 class http_stream final : public upstream_stream, public std::enable_shared_from_this<http_stream>
 {
 public:
--- a/src/transport/engine_stream.hpp
+++ b/src/transport/engine_stream.hpp
@@ -14,7 +14,7 @@
 namespace plumdale::transport
 {
 
-/// \brief Takes the events of one exchange, on the thread that opened it.
+/// \brief Receives the events of one exchange, on the thread that opened it.
 using stream_listener = std::function<void(coordination::request_event)>;
 
 /// \brief An open exchange with an upstream. Ends with one finished or failed event, or `close()`.
--- a/src/transport/http_fetch.cpp
+++ b/src/transport/http_fetch.cpp
@@ -145,8 +145,8 @@
         {
             return send_on_new_connection(request, std::move(handler));
         }
-        // The other end may have closed the connection, or lost track of it, while it was idle:
-        // then nothing comes, or an end. A read may be sent again, so it is, on a new connection.
+        // The connection may have been closed or silently lost while it was idle: then the exchange
+        // fails or times out. A read is idempotent, so it is sent again on a new connection.
         auto retry_on_error = [self = shared_from_this(), request, handler](exchange_result end)
         {
             if (end.error)
@@ -163,14 +163,14 @@
 private:
     void send_on_new_connection(fetch_request const& request, fetch_handler handler)
     {
-        bool const reads = request.method == "GET";
+        bool const is_read = request.method == "GET";
         auto on_end = [self = shared_from_this(), address = request.address,
                        handler = std::move(handler)](exchange_result end)
         {
             self->keep(address, std::move(end.reusable));
             report(handler, end);
         };
-        std::make_shared<exchange>(std::make_unique<beast::tcp_stream>(context_), request, reads,
+        std::make_shared<exchange>(std::make_unique<beast::tcp_stream>(context_), request, is_read,
                                    std::move(on_end))
             ->connect(request.address);
     }
--- a/src/transport/http_fetch.hpp
+++ b/src/transport/http_fetch.hpp
@@ -43,15 +43,16 @@
 /// `connection_failed`.
 void fetch(net::io_context& context, fetch_request request, fetch_handler handler);
 
-/// \brief Sends requests, and keeps one idle connection for each address to read from again.
+/// \brief Sends requests, and keeps one idle connection per address for later reads.
 ///
-/// For one thread. A read (GET) that fails on a kept connection is sent once more on a new one; any
-/// other request always has a new one, since it could have been taken by the old. Example:
+/// For use on one thread. A read (GET) that fails on a kept connection is sent once more on a new
+/// one. Any other request always uses a new connection: after a failure on a kept one, it could
+/// have been executed already. Example:
 /// `fetcher loads{context}; loads.fetch({engine, "GET", "/v1/load"}, on_answer);`
 class fetcher
 {
 public:
-    /// \brief Most idle connections kept.
+    /// \brief Maximum number of idle connections that are kept.
     static constexpr std::size_t max_idle_connections = 1024;
 
     explicit fetcher(net::io_context& context);
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -13,7 +13,7 @@
 
 using boost::system::error_code;
 
-// Without descriptors left, accepting fails at once, again and again.
+// Without free file descriptors every accept fails at once: retries without a delay would spin.
 constexpr auto retry_delay = std::chrono::milliseconds{100};
 
 state::failure open_failure(state::endpoint where, error_code error)
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -18,15 +18,15 @@
 namespace plumdale::transport
 {
 
-/// \brief Listens at `where`; returns where it listens. Fails with `connection_failed`.
+/// \brief Listens at `where`; returns the bound endpoint. Fails with `connection_failed`.
 [[nodiscard]] state::result<state::endpoint> open_acceptor(tcp::acceptor& acceptor,
                                                            state::endpoint where);
 
-/// \brief Binds a UDP socket; returns where. Fails with `connection_failed`.
+/// \brief Binds a UDP socket; returns the bound endpoint. Fails with `connection_failed`.
 [[nodiscard]] state::result<state::endpoint> open_datagrams(net::ip::udp::socket& socket,
                                                             state::endpoint where);
 
-/// \brief Spreads accepted connections over the workers in turn.
+/// \brief Distributes accepted connections over the workers in turn.
 class listener
 {
 public:
--- a/src/transport/metrics.cpp
+++ b/src/transport/metrics.cpp
@@ -22,7 +22,7 @@
     acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::mean, acc::tag::max,
                                             acc::tag::extended_p_square_quantile>>;
 
-// The quantile is interpolated between neighbours, so each has one on both sides.
+// A quantile is interpolated between its neighbours, so each that is shown has one on both sides.
 constexpr std::array<double, 6> probabilities{0.25, 0.5, 0.75, 0.95, 0.99, 0.999};
 
 } // namespace
@@ -52,8 +52,8 @@
     }
     read.mean = acc::mean(set);
     read.longest = acc::max(set);
-    // With fewer samples than markers the estimator knows nothing yet: the longest understates
-    // none.
+    // With fewer samples than markers the estimator has no estimate yet. The longest value never
+    // understates a quantile.
     constexpr std::size_t markers = 2 * probabilities.size() + 3;
     auto const at = [&](double probability)
     {
@@ -119,7 +119,8 @@
 using summary_member = latency_summary::values worker_sample::*;
 using count_member = std::uint64_t worker_counts::*;
 
-// Quantiles of several workers are averaged by their counts: callers fall on workers in turn.
+// Quantiles of several workers are averaged with their counts as weights: connections are
+// distributed over the workers in turn, so their distributions are alike.
 latency_summary::values merged(std::span<worker_sample const> workers, summary_member member)
 {
     latency_summary::values all;
--- a/src/transport/metrics.hpp
+++ b/src/transport/metrics.hpp
@@ -13,12 +13,12 @@
 #include <string_view>
 
 /// \file
-/// \brief What `/metrics` shows.
+/// \brief The figures that `/metrics` shows.
 
 namespace plumdale::transport
 {
 
-/// \brief Count, mean, greatest value and quantiles of a time, by Boost.Accumulators.
+/// \brief Count, mean, greatest value and quantiles of a duration, by Boost.Accumulators.
 class latency_summary
 {
 public:
@@ -97,7 +97,7 @@
     std::atomic<std::uint64_t> pauses{0};
 };
 
-/// \brief Figures of the moment that no thread counts.
+/// \brief Current values, read when the page is requested.
 struct gauge_metrics
 {
     std::uint32_t in_flight = 0;
--- a/src/transport/net.hpp
+++ b/src/transport/net.hpp
@@ -20,7 +20,7 @@
     return {net::ip::address_v4{where.address}, where.port};
 }
 
-/// \brief Returns an IPv4 TCP endpoint as ours.
+/// \brief Returns an IPv4 TCP endpoint as a `state::endpoint`.
 [[nodiscard]] inline state::endpoint from_tcp(tcp::endpoint const& where)
 {
     return {where.address().to_v4().to_uint(), where.port()};
--- a/src/transport/pause_detector.hpp
+++ b/src/transport/pause_detector.hpp
@@ -5,16 +5,16 @@
 #include <algorithm>
 
 /// \file
-/// \brief Notices that the process did not run for a while.
+/// \brief Detects that the process did not run for a while.
 
 namespace plumdale::transport
 {
 
 /// \brief Compares two clocks and the armed timer, before each event of one thread.
 ///
-/// A VM that was suspended finds its monotonic clock behind the one that counts suspension; a
-/// process that was stopped finds that a timer should have fired long ago. Either would go on to
-/// dispatch by what it knew before.
+/// After a suspension of the VM, the monotonic clock is behind the one that counts suspension;
+/// after a stop of the process, a timer is overdue. Undetected, either pause would let the process
+/// dispatch by outdated state.
 class pause_detector
 {
 public:
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -28,9 +28,9 @@
 // On the wire: length (4 bytes, little-endian), MAC, Cap'n Proto message.
 constexpr std::size_t length_bytes = 4;
 constexpr std::size_t prefix_bytes = length_bytes + sizeof(protocol::link_mac);
-// Before the peer proved that it holds the key, it gets no memory to fill.
+// Limits the memory that a peer can fill before it has proved that it holds the key.
 constexpr std::uint32_t hello_limit = 1024;
-// A read of a long frame grows its buffer as bytes arrive, not by the length that was claimed.
+// The buffer of a long frame grows as bytes arrive; the claimed length is not allocated at once.
 constexpr std::size_t max_read_bytes = 262'144;
 
 std::string frame_prefix(std::size_t length, protocol::link_mac const& mac)
@@ -122,7 +122,7 @@
         auto const frame = protocol::decode_frame(bytes, now());
         auto const* const hello =
             frame ? std::get_if<protocol::link_hello>(&frame.value().body) : nullptr;
-        // A hello that comes back to us with our own nonce is a reflection.
+        // A hello with this side's own nonce is a reflection.
         if (hello == nullptr || hello->nonce == nonce_)
         {
             return fail();
@@ -140,8 +140,8 @@
         }
     }
 
-    /// \brief Returns the key that the other side's hello was signed with; null when it is none of
-    /// ours.
+    /// \brief Returns the key that the other side's hello was signed with; null when it is not an
+    /// accepted one.
     std::string const* find_signing_key(std::string_view hello) const
     {
         auto const signed_by = [&](std::string const& key)
@@ -157,8 +157,8 @@
         return found == accepted.end() ? nullptr : &*found;
     }
 
-    // Each direction is sealed with the key of its sender: while the fleet changes its key, the two
-    // sides may sign with different ones.
+    // Each direction is authenticated with the key of its sender: while the fleet changes its key,
+    // the two sides may sign with different ones.
     void make_authenticators(protocol::link_nonce const& peer_nonce, std::string const& peer_key)
     {
         bool const is_initiator = side_ == direction::from_initiator;
@@ -301,7 +301,7 @@
         }
     }
 
-    // -- being alive ----
+    // -- liveness ----
 
     void arm_heartbeat_timer()
     {
@@ -321,8 +321,8 @@
             });
     }
 
-    // Something between the two ends may have lost track of the connection: then the socket stays
-    // open and every byte is lost. Only what arrives proves that the peer is there.
+    // A device on the path may have lost the state of the connection: then the socket stays open
+    // and every byte is lost. Only received bytes prove that the peer is reachable.
     void arm_silence_timer()
     {
         silence_timer_.expires_at(to_steady(last_contact_) + settings_.silence_timeout);
--- a/src/transport/peer_link.hpp
+++ b/src/transport/peer_link.hpp
@@ -15,7 +15,7 @@
 namespace plumdale::transport
 {
 
-/// \brief What a link tells its owner, on the thread of its event loop.
+/// \brief Callbacks of a link to its owner, on the thread of the link's event loop.
 struct link_listener
 {
     /// \brief Both sides proved that they hold the fleet key; frames may arrive from now on.
@@ -23,11 +23,12 @@
     std::function<void(protocol::link_frame)> received;
     /// \brief The link ended; no other call follows.
     std::function<void()> closed;
-    /// \brief More waits to be sent than the bound, and less again.
+    /// \brief Called with true when more bytes wait to be sent than the limit, with false when
+    /// fewer do.
     std::function<void(bool blocked)> blocked;
 };
 
-/// \brief Who this entry VM is and how it guards its links.
+/// \brief The identity of this entry VM, and the keys and limits of its links.
 struct link_settings
 {
     state::node_id self;
@@ -39,9 +40,10 @@
     std::uint32_t frame_limit = 80U * 1024 * 1024;
     /// \brief Bytes waiting above which `blocked(true)` is called.
     std::uint32_t buffer = 256U * 1024;
-    /// \brief A side with nothing to say says so this often.
+    /// \brief Interval at which a side with nothing else to send sends a heartbeat.
     std::chrono::milliseconds heartbeat_interval{1000};
-    /// \brief A link on which nothing arrives for this long is closed, whatever its socket says.
+    /// \brief A link on which nothing arrives for this long is closed, even if its socket reports
+    /// no error.
     std::chrono::milliseconds silence_timeout{3000};
 };
 
@@ -54,7 +56,7 @@
     peer_link& operator=(peer_link const&) = delete;
     virtual ~peer_link() = default;
 
-    /// \brief Sends a frame; before the link is open it waits.
+    /// \brief Sends a frame; a frame sent before the link is open is queued.
     virtual void send(protocol::link_frame const& frame) = 0;
     /// \brief Returns the entry VM at the other end; none before the link opened.
     [[nodiscard]] virtual state::node_id peer() const = 0;
@@ -62,13 +64,13 @@
     virtual void close() = 0;
 };
 
-/// \brief Connects to a peer's `streams` endpoint. A failure is told by `closed`.
+/// \brief Connects to a peer's `streams` endpoint. A failure is reported by `closed`.
 [[nodiscard]] std::shared_ptr<peer_link> open_link(net::io_context& context,
                                                    state::endpoint address,
                                                    link_settings const& settings,
                                                    link_listener listener);
 
-/// \brief Takes an accepted connection.
+/// \brief Opens a link over an accepted connection.
 [[nodiscard]] std::shared_ptr<peer_link>
 accept_link(tcp::socket socket, link_settings const& settings, link_listener listener);
 
--- a/src/transport/relay_client.cpp
+++ b/src/transport/relay_client.cpp
@@ -105,7 +105,7 @@
     auto const found = relays_.find(caller);
     if (found == relays_.end() || found->second != node)
     {
-        return; // An answer that crossed our closing of the relay.
+        return; // The relay was closed while this answer was in transit.
     }
     if (ends_relay(frame.body))
     {
--- a/src/transport/relay_client.hpp
+++ b/src/transport/relay_client.hpp
@@ -24,17 +24,18 @@
 public:
     using event_handler = std::function<void(coordination::request_event)>;
 
-    /// \brief `on_event` takes the relay events; never called from inside a member.
+    /// \brief `on_event` receives the relay events; it is never called from within a member
+    /// function.
     relay_client(net::io_context& context, link_settings const& settings, event_handler on_event);
     relay_client(relay_client const&) = delete;
     relay_client& operator=(relay_client const&) = delete;
     ~relay_client();
 
-    /// \brief Passes a request on, over a new link when there is none.
+    /// \brief Relays a request, over a new link when there is none.
     void relay(coordination::relay_request const& action);
-    /// \brief Gives a relay up.
+    /// \brief Abandons a relay.
     void close(state::caller_handle caller);
-    /// \brief Tells the owner how the caller reads; nothing when it has no relay.
+    /// \brief Sends an event of the caller to the owner; does nothing when the caller has no relay.
     void send_event(state::caller_handle caller, protocol::caller_event event);
 
 private:
--- a/src/transport/relay_server.cpp
+++ b/src/transport/relay_server.cpp
@@ -136,7 +136,7 @@
     {
         if (relays_.count(exchange) != 0)
         {
-            return; // A number is used once at a time.
+            return; // An exchange number is unique among open relays.
         }
         auto sink = std::make_shared<relay_answer_sink>(
             link_, exchange, [this](std::uint64_t ended) { leave(ended); });
@@ -168,8 +168,8 @@
         post_caller_state(each, each.peer_blocked || link_blocked_);
     }
 
-    // The link itself carries too much: every stream on it waits, for those that are read at the
-    // other end drain it.
+    // While the link's send buffer is above its limit, every stream on the link is paused. The
+    // buffer drains as the peer reads.
     void on_link_blocked(bool blocked)
     {
         link_blocked_ = blocked;
--- a/src/transport/relay_server.hpp
+++ b/src/transport/relay_server.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 
 /// \file
-/// \brief The owner's side: peers that relay are callers here.
+/// \brief The owner's side: serves relaying peers as callers.
 
 namespace plumdale::transport
 {
--- a/src/transport/request_sink.hpp
+++ b/src/transport/request_sink.hpp
@@ -5,12 +5,12 @@
 #include <cstdint>
 
 /// \file
-/// \brief Where the transport's request events go.
+/// \brief The interface that receives the transport's request events.
 
 namespace plumdale::transport
 {
 
-/// \brief Takes events to the shards; any thread may call.
+/// \brief Passes events to the shards; any thread may call.
 class request_sink
 {
 public:
--- a/src/transport/shard_runner.cpp
+++ b/src/transport/shard_runner.cpp
@@ -56,7 +56,7 @@
     reusable_actions_ = std::move(actions);
 }
 
-// How a relayed caller reads is passed to the owner, whose engine stream it concerns.
+// Whether a relayed caller is blocked is reported to the owner, which pauses its engine stream.
 void shard_runner::forward_to_relay(coordination::request_event const& event)
 {
     if (auto const* const blocked = std::get_if<coordination::caller_blocked>(&event))
@@ -69,8 +69,8 @@
     }
 }
 
-// Most tokens move the next deadline a little further away. The timer is left where it is then, and
-// set anew when it fires too early: one timer operation a deadline, not one a token.
+// Most tokens move the next deadline slightly later. The timer is then left unchanged, and rearmed
+// when it fires too early: one timer operation per deadline instead of one per token.
 void shard_runner::arm_timer()
 {
     state::time_point const deadline = node_.next_deadline(shard_);
--- a/src/transport/worker.cpp
+++ b/src/transport/worker.cpp
@@ -63,7 +63,7 @@
 
 void worker::interrupt_callers()
 {
-    // Delivering forgets the caller, so the table is walked as a copy.
+    // Delivery removes the caller from the table, so the loop iterates over a copy.
     auto const callers = callers_;
     for (auto const& [caller, sink] : callers)
     {
--- a/src/transport/worker.hpp
+++ b/src/transport/worker.hpp
@@ -53,14 +53,14 @@
     /// \brief Ends the loop and joins the thread.
     void stop();
 
-    /// \brief Enters a caller; returns its handle. On this worker's thread.
+    /// \brief Adds a caller; returns its handle. On this worker's thread.
     [[nodiscard]] state::caller_handle add_caller(std::shared_ptr<answer_sink> sink);
-    /// \brief Forgets a caller. On this worker's thread.
+    /// \brief Removes a caller. On this worker's thread.
     void leave(state::caller_handle caller);
     /// \brief Returns the caller, or null when it has left. On this worker's thread.
     [[nodiscard]] std::shared_ptr<answer_sink> find(state::caller_handle caller) const;
 
-    /// \brief Tells every caller that its answer breaks off. On this worker's thread.
+    /// \brief Ends the answer of every caller with an error. On this worker's thread.
     void interrupt_callers();
 
 private:
