--- a/tests/transport/fake_sink.hpp
+++ b/tests/transport/fake_sink.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 /// \file
-/// \brief Keeps the events that the transport passes on.
+/// \brief Records the events that the transport passes on.
 
 namespace plumdale::tests
 {
@@ -13,7 +13,8 @@
 class fake_sink final : public transport::request_sink
 {
 public:
-    std::uint32_t receive(coordination::request_received received, std::uint32_t /*near*/) override
+    std::uint32_t receive(coordination::request_received received,
+                          std::uint32_t /*preferred_shard*/) override
     {
         requests.push_back(std::move(received));
         return 0;
--- a/tests/transport/loop.hpp
+++ b/tests/transport/loop.hpp
@@ -11,12 +11,12 @@
 #include <utility>
 
 /// \file
-/// \brief An event loop run by the test itself, until something is true.
+/// \brief Runs an event loop on the test's thread until a condition holds.
 
 namespace plumdale::tests
 {
 
-/// \brief Runs the loop until `done()`; returns false after a generous bound.
+/// \brief Runs the loop until `done()`; returns false after 30 seconds.
 template <class Condition>
 [[nodiscard]] bool run_until(boost::asio::io_context& context, Condition done)
 {
@@ -33,7 +33,7 @@
     return true;
 }
 
-/// \brief A listening socket on loopback, and what it accepted.
+/// \brief A listening socket on loopback.
 struct loopback
 {
     explicit loopback(boost::asio::io_context& context)
@@ -86,7 +86,7 @@
     }
 
 private:
-    // Outlives the peer: a read may have ended before the peer did, and be told after.
+    // Outlives the peer: the handler of a completed read may run after the peer's destruction.
     struct read_state
     {
         std::array<char, 4096> bytes{};
--- a/tests/transport/test_caller_input.cpp
+++ b/tests/transport/test_caller_input.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// \brief Serves callers on a loop of the test, before a sink that keeps what arrives.
+/// \brief Serves callers on the test's event loop; a fake sink records their requests.
 struct caller_fixture
 {
     explicit caller_fixture(transport::session_limits limits = {})
@@ -42,7 +42,7 @@
         return std::make_unique<tests::raw_peer>(own_worker.context(), listener.where());
     }
 
-    // Returns the answer to `bytes` up to its end as the connection's end or `until` shows it.
+    // Sends `bytes`, and returns what is received until the connection ends or `until` arrives.
     [[nodiscard]] std::string answer(std::string const& bytes, std::string const& until)
     {
         auto const peer = connect();
@@ -146,8 +146,8 @@
 
 } // namespace
 
-// Callers send what is no request of ours. Each gets its row of the error table at once; nothing of
-// it reaches the decisions, and the next caller is served as if nothing had been.
+// Callers send malformed requests. Each is answered at once by its row of the error table; none is
+// passed on to the shards, and the next caller is served normally.
 TEST_CASE("each malformed request gets its row of the error table")
 {
     caller_fixture vm;
@@ -166,8 +166,8 @@
     CHECK(vm.answer("GET /health HTTP/1.1\r\n\r\n", "ready\n").find("200 OK") != std::string::npos);
 }
 
-// Bits of valid requests are turned over, and requests are cut off. Whatever comes of it, the
-// process goes on and serves the next caller.
+// Bytes of valid requests are changed, and requests are truncated. The process must go on and serve
+// the next caller.
 TEST_CASE("mutated requests never stop the service")
 {
     caller_fixture vm;
@@ -189,9 +189,9 @@
     CHECK(vm.answer("GET /health HTTP/1.1\r\n\r\n", "ready\n").find("200 OK") != std::string::npos);
 }
 
-// A caller sends its head byte by byte for ever. It holds one connection for the time that a head
-// may take, and no longer.
-TEST_CASE("a head that never ends loses its connection")
+// A caller never completes its head. Without a bound it would hold its connection indefinitely; the
+// connection must be closed after the read timeout.
+TEST_CASE("a connection whose head never ends is closed")
 {
     transport::session_limits limits;
     limits.read_timeout = 50ms;
@@ -228,7 +228,7 @@
     CHECK(peer->received().find("[DONE]") < peer->received().find("503"));
 }
 
-TEST_CASE("a reservation is answered whole, though its head comes first")
+TEST_CASE("a reservation is answered unchunked although its head is delivered first")
 {
     caller_fixture vm;
     auto const peer = vm.connect();
@@ -243,7 +243,7 @@
     CHECK(peer->received().find("Transfer-Encoding") == std::string::npos);
 }
 
-TEST_CASE("a caller that leaves while it waits is reported gone")
+TEST_CASE("a caller that disconnects while it waits is reported as disconnected")
 {
     caller_fixture vm;
     auto const peer = vm.connect();
@@ -255,9 +255,9 @@
     CHECK(vm.caller_sink(0) == nullptr);
 }
 
-// A caller takes nothing of its stream. The upstream is paused once the bound is passed, another
-// caller's stream goes on, and in the end the stalled connection is closed.
-TEST_CASE("a caller that stops reading is held, then let go")
+// A caller reads nothing of its stream. The upstream must be paused above the buffer limit, another
+// caller's stream must go on, and the stalled connection must be closed in the end.
+TEST_CASE("a caller that stops reading is blocked, then disconnected")
 {
     transport::session_limits limits;
     limits.buffer = 4096;
@@ -273,7 +273,7 @@
     vm.caller_sink(0)->deliver(coordination::send_head{});
     std::string const text(65'536, 't');
     // Far more than the system itself buffers for a connection; on a slow machine the stalled
-    // caller may be let go before all of it is delivered.
+    // caller may be disconnected before all of it is delivered.
     for (std::uint32_t i = 0; i < 500; ++i)
     {
         if (auto const caller_sink = vm.caller_sink(0))
--- a/tests/transport/test_http_fetch.cpp
+++ b/tests/transport/test_http_fetch.cpp
@@ -102,9 +102,9 @@
     CHECK(run_until(engine.context, [&] { return engine.request_arrived(1); }));
 }
 
-// An engine closes the idle connection. The next read would fail and the engine be taken for dead,
-// though it is well; the read goes out once more on a new connection.
-TEST_CASE("a read on a connection that was closed goes out anew")
+// An engine closes the idle connection. Unless the next read is sent once more on a new connection,
+// it fails, and a healthy engine is taken for failed.
+TEST_CASE("a read that fails on a closed connection is sent again")
 {
     fake_engine engine;
     engine.read_and_answer(0);
@@ -117,9 +117,9 @@
     CHECK(engine.answers.back().has_value());
 }
 
-// Something between the two ends has lost track of the idle connection: nothing comes back, and the
-// socket says nothing. After its time the read goes out on a new connection, which works.
-TEST_CASE("a read on a connection gone silent goes out anew")
+// The idle connection was silently lost: no answer arrives, and the socket reports no error. After
+// its timeout the read must be sent again on a new connection, which works.
+TEST_CASE("a read that times out on a silent connection is sent again")
 {
     fake_engine engine;
     engine.read_and_answer(0);
@@ -131,12 +131,12 @@
     CHECK(engine.answers.back().has_value());
 }
 
-TEST_CASE("a read that nobody answers fails once")
+TEST_CASE("a read from an address that refuses connections fails once")
 {
     fake_engine engine;
-    state::endpoint const nobody = engine.listener.where();
+    state::endpoint const closed_endpoint = engine.listener.where();
     engine.listener.acceptor.close();
-    engine.send({nobody, "GET", "/v1/load", {}, {}, std::chrono::seconds{20}});
+    engine.send({closed_endpoint, "GET", "/v1/load", {}, {}, std::chrono::seconds{20}});
     REQUIRE(run_until(engine.context, [&] { return engine.answers.size() == 1; }));
     CHECK(engine.answers[0].error().kind == state::error_kind::connection_failed);
 }
--- a/tests/transport/test_pause_detector.cpp
+++ b/tests/transport/test_pause_detector.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("a process that runs in time sees no gap")
+TEST_CASE("a process that runs on time reports no pause")
 {
     pause_detector detector{1s, 5s};
     CHECK(detector.pause_length(start, 5s, start + 1s) == 0s);
@@ -23,17 +23,17 @@
 }
 
 // The VM is suspended for a minute: its monotonic clock stands still meanwhile, so no timer is
-// late. Only the clock that counts suspension tells; told once, it is not told again.
-TEST_CASE("a suspended VM is noticed by its clocks")
+// late. Only the clock that counts suspension shows the pause, which must be reported once.
+TEST_CASE("a suspension of the VM is detected by its clocks")
 {
     pause_detector detector{1s, 5s};
     CHECK(detector.pause_length(start, 65s, start + 1s) == 60s);
     CHECK(detector.pause_length(start, 65s, start + 1s) == 0s);
 }
 
-// The process is stopped (SIGSTOP) while its clocks go on: a timer that was set for a moment long
-// past is the only trace, and is seen by whatever event comes first.
-TEST_CASE("a stopped process is noticed by its late timer")
+// The process is stopped (SIGSTOP) while its clocks go on. Only an overdue timer shows the pause,
+// which must be detected at the first event, whatever it is.
+TEST_CASE("a stop of the process is detected by its late timer")
 {
     pause_detector detector{1s, 5s};
     CHECK(detector.pause_length(start + 10s, 5s, start) == 10s);
--- a/tests/transport/test_peer_link.cpp
+++ b/tests/transport/test_peer_link.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// \brief What one side of a link was told.
+/// \brief Records the callbacks of one side of a link.
 struct side
 {
     transport::link_listener listener()
@@ -89,8 +89,8 @@
     CHECK_FALSE(links.a.closed);
 }
 
-// A process without the fleet key connects, or answers. Neither side ever reads a frame of it: its
-// hello has a wrong MAC, and the link ends before any request was sent.
+// A process without the fleet key connects, or accepts a connection. Its hello has a wrong MAC, so
+// the link must end before any request is sent and any frame is read.
 TEST_CASE("a link with another fleet key never opens")
 {
     link_pair links;
@@ -118,8 +118,8 @@
     REQUIRE(run_until(links.context, [&] { return !links.a.frames.empty(); }));
 }
 
-// The other end is there, but nothing it sends arrives any more, and the socket says nothing of it.
-// The relaying VM would wait for ever; it closes the link after the silence instead.
+// Nothing that the other end sends arrives, and the socket reports no error. The relaying VM would
+// wait indefinitely unless it closed the link after the silence timeout.
 TEST_CASE("a silent connection is closed")
 {
     boost::asio::io_context context;
@@ -148,8 +148,8 @@
     CHECK_FALSE(links.b.closed);
 }
 
-// Bytes on a link are changed under way, or come from someone who saw an earlier link. The MAC of
-// each frame tells; the link ends, and the process goes on.
+// Bytes on a link are changed in transit, or replayed from an earlier link. The MAC of each frame
+// must reveal it; the link ends, and the process goes on.
 TEST_CASE("garbage after or instead of a hello ends the link")
 {
     std::minstd_rand random{7};
@@ -167,7 +167,7 @@
         {
             each = static_cast<char>(random());
         }
-        // Every second time the length is plausible, so that the MAC has to decide.
+        // In every second round the length is plausible, so that only the MAC can reveal the fault.
         if (round % 2 == 0)
         {
             bytes.replace(0, 4, std::string{static_cast<char>(bytes.size() - 20), 0, 0, 0});
@@ -179,9 +179,9 @@
     }
 }
 
-// The peer reads slowly. What waits for it is bounded: its streams are told to wait, and go on when
-// it reads again.
-TEST_CASE("a link that carries too much says so")
+// The peer reads slowly. The bytes that wait for it are bounded: its streams must be paused, and
+// resumed when it reads again.
+TEST_CASE("a link above its buffer limit reports that it is blocked")
 {
     link_pair links;
     links.open(settings_of(1), settings_of(2));
--- a/tests/transport/test_relay.cpp
+++ b/tests/transport/test_relay.cpp
@@ -105,7 +105,7 @@
     CHECK(std::get<coordination::relay_finished>(vms.events[3]).count == 2);
 }
 
-TEST_CASE("a relayed refusal keeps its kind and time to come back")
+TEST_CASE("a relayed refusal keeps its kind and retry delay")
 {
     two_vms vms;
     REQUIRE(vms.relay(21));
@@ -118,9 +118,9 @@
     CHECK(refused->retry_after == std::chrono::milliseconds{1500});
 }
 
-// One of two callers on the same link stops reading. Only its own stream is held at the owner; the
-// other's goes on, and the first goes on once it reads again.
-TEST_CASE("a slow caller holds only its own stream over a relay")
+// One of two callers on the same link stops reading. Only its own stream may be paused at the
+// owner, and must be resumed when it reads again; the other's goes on.
+TEST_CASE("a slow caller blocks only its own stream over a relay")
 {
     two_vms vms;
     REQUIRE(vms.relay(21));
@@ -136,7 +136,7 @@
                       [&] { return vms.sink.has<coordination::caller_ready>(); }));
 }
 
-TEST_CASE("a caller that leaves is gone at the owner too")
+TEST_CASE("a caller that disconnects is removed at the owner too")
 {
     two_vms vms;
     REQUIRE(vms.relay(21));
@@ -146,8 +146,8 @@
     CHECK(vms.caller_sink(0) == nullptr);
 }
 
-// The owner can't be reached at all: nothing was sent, and the request may be called not run.
-TEST_CASE("a relay that could not connect was not sent")
+// The owner can't be reached at all: nothing was sent, so the request may be reported as not run.
+TEST_CASE("a relay that could not connect is reported as not sent")
 {
     two_vms vms;
     state::endpoint const closed = [&]
@@ -163,7 +163,7 @@
     CHECK_FALSE(failed->sent);
 }
 
-// The owner had the request when the link broke: the caller must not be told "not run".
+// The owner had received the request when the link broke: it must not be reported as not run.
 TEST_CASE("a relay whose link broke may have reached the owner")
 {
     boost::asio::io_context context;
--- a/tests/transport/test_upstream_stream.cpp
+++ b/tests/transport/test_upstream_stream.cpp
@@ -42,7 +42,7 @@
 
 std::string const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// \brief An upstream that answers every connection with the same bytes, and what came of it.
+/// \brief An upstream that answers a connection with given bytes, and the events that result.
 struct exchange
 {
     explicit exchange(std::string bytes, coordination::open_stream wanted = {})
@@ -117,8 +117,8 @@
     CHECK(std::get<upstream_finished>(whole.events.back()).count == 2);
 }
 
-// An engine sends what is not its protocol. The exchange ends as failed, with the kind that tells
-// whether the work may have run; the process and the other exchanges go on.
+// An engine violates its protocol. The exchange must fail with the cause that shows whether the
+// work may have run; the process and the other exchanges go on.
 TEST_CASE("an engine's malformed answers fail the exchange")
 {
     std::vector<bad_answer> const answers{
@@ -146,7 +146,7 @@
     }
 }
 
-TEST_CASE("a wrong identity or index is passed on for the owner to judge")
+TEST_CASE("a wrong identity or index is passed on for the owner to check")
 {
     exchange crossed{head +
                      chunk("data: {\"generation\":\"g-x\",\"index\":41,\"text\":\"a\"}\n\n") +
@@ -158,7 +158,7 @@
     CHECK(token.index == 41);
 }
 
-TEST_CASE("an upstream that nobody listens at was sent nothing")
+TEST_CASE("an upstream that refuses connections was sent nothing")
 {
     boost::asio::io_context context;
     coordination::open_stream wanted;
@@ -176,8 +176,8 @@
     CHECK(*cause == upstream_failure::not_connected);
 }
 
-// The service ran the call and said so with a status of its own: the caller gets it, not an error
-// of ours.
+// The service ran the call and answered with its own status: the caller must receive it instead of
+// an error of the system.
 TEST_CASE("a service's answer keeps its status")
 {
     coordination::open_stream call;
@@ -192,7 +192,7 @@
     CHECK_FALSE(conflict.failure());
 }
 
-TEST_CASE("a service's endless answer is cut at the bound")
+TEST_CASE("a service's answer above the size limit breaks the exchange")
 {
     coordination::open_stream call;
     call.kind = state::work_kind::call;
@@ -201,7 +201,7 @@
     CHECK(made.failure() == upstream_failure::broken);
 }
 
-TEST_CASE("mutated answers of an engine never do harm")
+TEST_CASE("mutated answers of an engine never stop the process")
 {
     std::minstd_rand random{20261202};
     std::string const valid =
