--- a/tests/transport/fake_sink.hpp
+++ b/tests/transport/fake_sink.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 /// \file
-/// \brief Keeps the events that the transport passes on.
+/// \brief Records the events that the transport passes on.
 
 namespace plumdale::tests
 {
