--- a/programs/plumctl/admin_client.cpp
+++ b/programs/plumctl/admin_client.cpp
@@ -8,12 +8,12 @@
 namespace json = boost::json;
 
 admin_options::admin_options(TCLAP::CmdLine& line)
-    : entries{"", "entry", "an entry VM; several", true, "IP:PORT", line},
+    : entries{"", "entry", "an entry VM; may be repeated", true, "IP:PORT", line},
       key_file{"",    "key-file", "file with the operator key (else PLUMDALE_OPERATOR_KEY)",
                false, "",         "FILE",
                line},
       idle_timeout{"", "idle-ms", "longest wait for an answer", false, 5'000, "MS", line},
-      json{"", "json", "JSON for programs", line}
+      json{"", "json", "print JSON", line}
 {
 }
 
--- a/programs/plumctl/admin_client.hpp
+++ b/programs/plumctl/admin_client.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 /// \file
-/// \brief What the operators' commands share.
+/// \brief Options and requests shared by the operators' commands.
 
 namespace plumdale::plumctl
 {
@@ -37,7 +37,7 @@
 /// \brief Returns a member as text: a string as it is, anything else as JSON, `-` when missing.
 [[nodiscard]] std::string member_text(boost::json::value const& from, char const* name);
 
-/// \brief Parses a body; a null value when it is malformed.
+/// \brief Parses a body; returns a null value when it is malformed.
 [[nodiscard]] boost::json::value parse_body(std::string const& body);
 
 /// \brief Returns `<revision>.<count> <preset>` for a stamp.
--- a/programs/plumctl/check.cpp
+++ b/programs/plumctl/check.cpp
@@ -46,7 +46,7 @@
     TCLAP::CmdLine line{"Checks a settings file as plumdaled would.", ' ', program_version};
     line.setExceptionHandling(false);
     TCLAP::UnlabeledValueArg<std::string> file{"file", "settings (JSON)", true, "", "FILE", line};
-    TCLAP::SwitchArg as_json{"", "json", "JSON for programs", line};
+    TCLAP::SwitchArg as_json{"", "json", "print JSON", line};
     line.parse(args);
     std::ifstream in{file.getValue()};
     if (!in)
--- a/programs/plumctl/commands.hpp
+++ b/programs/plumctl/commands.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 /// \file
-/// \brief plumctl's commands, and what they share.
+/// \brief plumctl's commands and their shared functions.
 
 namespace plumdale::plumctl
 {
@@ -24,10 +24,11 @@
 int run_report(arguments args);
 int run_forward(arguments args);
 
-/// \brief Prints a failure for people or programs and returns its exit code.
+/// \brief Prints a failure as text or JSON and returns its exit code.
 int report_failure(state::failure const& failed, bool json);
 
-/// \brief Returns a key: the file's first line, or the environment's variable, or an empty text.
+/// \brief Returns a key: the first line of the file, if one is named, else the environment
+/// variable, else an empty string.
 [[nodiscard]] std::string read_key(std::string const& file, char const* variable);
 
 /// \brief Prints rows as columns; the first row is the heading.
--- a/programs/plumctl/error_budget_page.cpp
+++ b/programs/plumctl/error_budget_page.cpp
@@ -134,7 +134,7 @@
     out << "</table>\n";
 }
 
-// Bars of one window's slots. The scale reaches 1 at least, so that the dashed line always shows.
+// Draws one window's slots as bars. The scale always includes 1, so that the dashed line shows.
 void write_plot(std::ostringstream& out, std::string const& caption, json::array const& slots)
 {
     double top = 1.2;
--- a/programs/plumctl/error_budget_page.hpp
+++ b/programs/plumctl/error_budget_page.hpp
@@ -5,7 +5,7 @@
 #include <string>
 
 /// \file
-/// \brief The burn report as a page that needs nothing else.
+/// \brief The burn report as a self-contained HTML page.
 
 namespace plumdale::plumctl
 {
--- a/programs/plumctl/event_reader.hpp
+++ b/programs/plumctl/event_reader.hpp
@@ -5,7 +5,7 @@
 #include <string_view>
 
 /// \file
-/// \brief Server-sent events from parts of a body.
+/// \brief Parser of server-sent events that arrive in parts of a body.
 
 namespace plumdale::plumctl
 {
@@ -13,11 +13,11 @@
 struct server_event
 {
     std::string id;
-    std::string name; ///< Empty unless the event has a type.
+    std::string name; ///< The event's type; empty when it has none.
     std::string data;
 };
 
-/// \brief Collects lines and tells of each whole event. A cut event is never told.
+/// \brief Collects lines and reports each complete event; an incomplete event is never reported.
 class event_reader
 {
 public:
--- a/programs/plumctl/fleet_summary.cpp
+++ b/programs/plumctl/fleet_summary.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// \brief What an entry VM that is up to date has.
+/// \brief Configuration and directory of an entry VM that is up to date.
 struct expected_state
 {
     std::uint64_t configuration = 0;
--- a/programs/plumctl/forward.cpp
+++ b/programs/plumctl/forward.cpp
@@ -12,7 +12,7 @@
 #include <map>
 #include <set>
 
-// Entry VMs in forwarding mode: what they serve on their ready address.
+// Reads the status page that entry VMs in forwarding mode serve on their ready address.
 
 namespace plumdale::plumctl
 {
@@ -121,7 +121,7 @@
     parsed.is_active_reader = entry.at("reads_platform").as_bool();
     parsed.configuration = entry.at("configuration").to_number<std::uint64_t>();
     parsed.calls = entry.at("calls_in_progress").to_number<std::uint64_t>();
-    // Entry VMs of a former version don't tell it.
+    // Entry VMs of an earlier version don't report it.
     parsed.directory_digest = directory_digest == nullptr ? "" : member_text(entry, "directory");
     if (age != nullptr && age->is_number())
     {
@@ -161,7 +161,8 @@
     std::set<std::string> in_force_at;
 };
 
-/// By zone, the newest order that any entry VM knows, and who has one in force for it.
+/// Returns, by zone, the newest order that any entry VM knows and the names of the entry VMs that
+/// have an order in force for the zone.
 std::map<std::string, evacuation_status> evacuations_by_zone(std::vector<json::value> const& pages)
 {
     std::map<std::string, evacuation_status> orders;
@@ -255,7 +256,7 @@
     TCLAP::UnlabeledValueArg<std::string> subject{"subject", "what to show", true,
                                                   "",        &known,         line};
     TCLAP::ValueArg<double> objective{
-        "",    "objective",       "share of calls that are to be on time, for burn",
+        "",    "objective",       "share of calls that must be on time, for burn",
         false, default_objective, "SHARE",
         line};
     admin_options options{line};
--- a/programs/plumctl/generate.cpp
+++ b/programs/plumctl/generate.cpp
@@ -70,7 +70,7 @@
                         "again through the next one.",
                         ' ', program_version};
     line.setExceptionHandling(false);
-    TCLAP::MultiArg<std::string> entries{"",   "entry",   "an entry VM; several",
+    TCLAP::MultiArg<std::string> entries{"",   "entry",   "an entry VM; may be repeated",
                                          true, "IP:PORT", line};
     TCLAP::ValueArg<std::string> key_file{
         "", "key-file", "file with the API key (else PLUMDALE_API_KEY)", false, "", "FILE", line};
@@ -80,19 +80,19 @@
     TCLAP::ValueArg<std::string> prompt{"p", "prompt", "the prompt", false, "", "TEXT", line};
     TCLAP::ValueArg<std::uint32_t> tokens{"", "max-tokens", "0 sets none", false, 0, "N", line};
     TCLAP::ValueArg<std::string> repeatable{
-        "", "repeatable", "true or false; by kind if missing", false, "", "BOOL", line};
+        "", "repeatable", "true or false; by default the kind decides", false, "", "BOOL", line};
     TCLAP::ValueArg<std::string> idempotency{"", "idempotency-key", "", false, "", "TEXT", line};
     TCLAP::ValueArg<std::uint32_t> attempt{
-        "", "attempt", "count of attempts under the key", false, 0, "N", line};
+        "", "attempt", "number of attempts under the key", false, 0, "N", line};
     TCLAP::ValueArg<std::string> generation{
         "g", "generation", "attach to this identity", false, "", "ID", line};
     TCLAP::ValueArg<std::string> last{
-        "", "last-event-id", "the last event held, to attach after it", false, "", "ID", line};
+        "", "last-event-id", "last event received; attaches after it", false, "", "ID", line};
     TCLAP::SwitchArg one_call{"", "one-call", "do not reserve an identity first", line};
     TCLAP::ValueArg<int> idle_timeout{
-        "", "idle-ms", "longest silence of an entry VM", false, 10'000, "MS", line};
+        "", "idle-ms", "longest wait for data from an entry VM", false, 10'000, "MS", line};
     TCLAP::ValueArg<int> attach_timeout{
-        "", "patience-ms", "how long to go on attaching", false, 60'000, "MS", line};
+        "", "patience-ms", "time limit for attaching again", false, 60'000, "MS", line};
     TCLAP::SwitchArg as_json{"", "json", "one JSON object at the end", line};
     line.parse(args);
 
--- a/programs/plumctl/generate_session.cpp
+++ b/programs/plumctl/generate_session.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::chrono::milliseconds pause_between_rounds{100};
 
-// After these, another entry VM or a later moment may still bring the answer.
+// After these errors, an attachment through another entry VM or a later one may still succeed.
 bool can_retry_attach(error_kind kind)
 {
     constexpr std::array kinds{error_kind::connection_failed, error_kind::interrupted,
@@ -28,7 +28,7 @@
     return std::find(kinds.begin(), kinds.end(), kind) != kinds.end();
 }
 
-// After these nothing ran, and another entry VM may take the work.
+// After these errors nothing has run, so the request may be sent to another entry VM.
 bool can_retry_elsewhere(error_kind kind)
 {
     return kind == error_kind::connection_failed || kind == error_kind::draining ||
@@ -88,7 +88,7 @@
     return start();
 }
 
-// Nothing runs before an identity is known, so an entry VM that can't be reached costs nothing.
+// Nothing runs before an identity is known, so a reservation is safe to repeat at another entry VM.
 std::optional<state::failure> generate_session::reserve()
 {
     std::optional<state::failure> last;
@@ -124,7 +124,7 @@
     }
     if (answer_.generation.empty())
     {
-        // Without an identity nobody can say whether it ran.
+        // Without an identity it is unknown whether the generation ran.
         return failed->kind == error_kind::connection_failed
                    ? state::failure{error_kind::may_have_run, failed->detail}
                    : *failed;
@@ -279,7 +279,7 @@
     process_token(event);
 }
 
-// A token counts only when it is the next one of the generation that this answer began with.
+// Accepts a token only when it is the next one of the generation that this answer began with.
 void generate_session::process_token(server_event const& event)
 {
     std::string const generation = event.id.substr(0, event.id.find_first_of("@/"));
--- a/programs/plumctl/generate_session.hpp
+++ b/programs/plumctl/generate_session.hpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 /// \file
-/// \brief One generation as its caller sees it, across the deaths of entry VMs.
+/// \brief A caller's generation that continues when entry VMs fail.
 
 namespace plumdale::plumctl
 {
@@ -29,8 +29,8 @@
     std::string idempotency_key;
     std::uint32_t attempt = 0;
     std::uint32_t max_tokens = 0;
-    std::string generation;    ///< Attach to this one instead of running one.
-    std::string last_event_id; ///< The last event held, for an attachment.
+    std::string generation;    ///< Attach to this generation instead of running one.
+    std::string last_event_id; ///< The last event received, for an attachment.
     bool one_call = false;     ///< Run without reserving an identity first.
     std::chrono::milliseconds idle_timeout{10'000};
     std::chrono::milliseconds attach_timeout{60'000};
@@ -42,7 +42,7 @@
     std::string text;
 };
 
-/// \brief What has arrived so far.
+/// \brief The part of the answer that has arrived so far.
 struct generate_answer
 {
     std::string generation;
@@ -53,20 +53,20 @@
     bool complete = false;
 };
 
-/// \brief Told each token's text, and notes for people.
+/// \brief Receives each token's text, and diagnostics for the operator.
 struct generate_listener
 {
     std::function<void(std::string const& text)> on_token;
     std::function<void(std::string const& diagnostic)> on_diagnostic;
 };
 
-/// \brief Reserves, runs and re-attaches until the answer is whole or can't be got.
+/// \brief Reserves, runs and re-attaches until the answer is complete or can't be obtained.
 class generate_session
 {
 public:
     generate_session(generate_options options, generate_listener listener);
 
-    /// \brief Returns the failure, or no value once the answer is whole.
+    /// \brief Returns the failure, or no value when the answer is complete.
     [[nodiscard]] std::optional<state::failure> run();
     [[nodiscard]] generate_answer const& answer() const noexcept;
 
--- a/programs/plumctl/http_client.cpp
+++ b/programs/plumctl/http_client.cpp
@@ -49,7 +49,7 @@
     return request;
 }
 
-/// One exchange, driven by its own loop so that each step has a time bound.
+/// One exchange, run on its own event loop so that each step has a timeout.
 class exchange
 {
 public:
--- a/programs/plumctl/http_client.hpp
+++ b/programs/plumctl/http_client.hpp
@@ -32,25 +32,25 @@
     std::vector<http_header> headers;
     std::string body;
 
-    /// \brief Returns the header's value or an empty text; `name` is in lower case.
+    /// \brief Returns the header's value or an empty string; `name` is in lower case.
     [[nodiscard]] std::string_view header(std::string_view name) const noexcept;
 };
 
-/// \brief Told the status and headers, before any part of the body.
+/// \brief Called with the status and headers, before any part of the body.
 using head_handler = std::function<void(http_answer const& head)>;
-/// \brief Told parts of a successful body as they come.
+/// \brief Called with each part of a successful body as it arrives.
 using body_handler = std::function<void(std::string_view part)>;
 
-/// \brief Speaks to one entry VM, with a new connection for each call.
+/// \brief Client of one entry VM; opens a new connection for each call.
 class http_client
 {
 public:
-    /// \brief `entry` is `IP:PORT`; nothing may stay silent for longer than `idle_timeout`.
+    /// \brief `entry` is `IP:PORT`; a step that takes longer than `idle_timeout` fails.
     http_client(std::string entry, std::chrono::milliseconds idle_timeout);
 
     /// \brief Returns the whole answer, or `connection_failed`.
     [[nodiscard]] state::result<http_answer> call(http_call const& outgoing_call) const;
-    /// \brief Like `call`, but hands a body with status 200 on as it comes.
+    /// \brief Like `call`, but passes a body with status 200 to `on_body` as it arrives.
     [[nodiscard]] state::result<http_answer> stream(http_call const& outgoing_call,
                                                     head_handler const& on_head,
                                                     body_handler const& on_body) const;
@@ -61,7 +61,7 @@
     std::chrono::milliseconds idle_timeout_;
 };
 
-/// \brief Returns the failure that an answer stands for; status 200 is none.
+/// \brief Returns the failure that an answer with a status other than 200 reports.
 [[nodiscard]] state::failure failure_of(http_answer const& answer);
 
 } // namespace plumdale::plumctl
--- a/programs/plumctl/preset.cpp
+++ b/programs/plumctl/preset.cpp
@@ -62,7 +62,7 @@
                : report_failure(got.error(), options.json.getValue());
 }
 
-// The answer names the preset in force by its id; it is another one when a later switch won.
+// The answer has the id of the preset in force, which is another preset when a later switch won.
 void print_switch(json::value const& answer, std::string const& wanted)
 {
     auto const* stamp = answer.as_object().if_contains("stamp");
--- a/programs/plumctl/report.cpp
+++ b/programs/plumctl/report.cpp
@@ -55,7 +55,7 @@
     print_table(rows);
 }
 
-/// Reads each entry VM's report; `code` becomes the exit code of the last that failed.
+/// Reads each entry VM's report; sets `code` to the exit code of the last failure.
 json::object read_reports(admin_options const& options, int& code)
 {
     json::object reports;
@@ -81,7 +81,8 @@
                         ' ', program_version};
     line.setExceptionHandling(false);
     admin_options options{line};
-    TCLAP::ValueArg<std::string> page{"o", "html", "write a page there", false, "", "FILE", line};
+    TCLAP::ValueArg<std::string> page{"o",    "html", "write an HTML page to this file", false, "",
+                                      "FILE", line};
     TCLAP::UnlabeledValueArg<std::string> topic{"topic", "burn", true, "", "TOPIC", line};
     line.parse(args);
     if (topic.getValue() != "burn")
--- a/programs/plumctl/status.cpp
+++ b/programs/plumctl/status.cpp
@@ -14,7 +14,7 @@
 
 namespace json = boost::json;
 
-/// One entry VM's status, or why there is none.
+/// One entry VM's status, or the failure to read it.
 struct node_status
 {
     std::string entry;
@@ -24,21 +24,21 @@
 
 node_status read_status(admin_options const& options, std::string const& entry)
 {
-    node_status to{entry, {}, {}};
+    node_status node{entry, {}, {}};
     auto const got = send_request(options, entry, {"GET", "/admin/status", {}, ""});
     if (!got)
     {
-        to.failed = got.error();
+        node.failed = got.error();
     }
     else if (got.value().status != 200)
     {
-        to.failed = failure_of(got.value());
+        node.failed = failure_of(got.value());
     }
     else
     {
-        to.status = parse_body(got.value().body);
+        node.status = parse_body(got.value().body);
     }
-    return to;
+    return node;
 }
 
 json::value member(json::value const& from, char const* name)
@@ -76,7 +76,7 @@
     print_table(rows);
 }
 
-/// Names of zones by their ids, as the entry VMs asked give their own.
+/// Names of zones by their ids; each entry VM in the list reports the name of its own zone.
 using zone_names = std::map<std::string, std::string>;
 
 zone_names read_zone_names(std::vector<node_status> const& nodes)
--- a/programs/plumdaled/main.cpp
+++ b/programs/plumdaled/main.cpp
@@ -28,7 +28,7 @@
 
 using namespace plumdale;
 
-/// \brief What the command line says.
+/// \brief Options from the command line.
 struct options
 {
     std::string file;
@@ -163,8 +163,8 @@
               << "listening " << protocol::to_text(settings.callers) << std::endl;
 }
 
-// Serves one uptime after another: a new one begins when peers know a later incarnation than this
-// process has, as after a clock that was set back.
+// Serves as one incarnation after another: a new one begins when peers know a later incarnation
+// than that of this process, for example after the clock was set back.
 int serve(protocol::daemon_settings settings)
 {
     transport::initialize_log(*find_level(settings.log_level), settings.log_format == "json"
@@ -190,7 +190,7 @@
     }
 }
 
-// Forwards calls in the words of the users' platform.
+// Forwards calls in the dialect of the users' platform.
 int forward(options const& command_line, std::string const& text)
 {
     auto settings = parse_forward_settings(command_line, text);
