--- a/tests/platform/forward_fixture.hpp
+++ b/tests/platform/forward_fixture.hpp
@@ -14,12 +14,12 @@
 #include <vector>
 
 /// \file
-/// \brief One entry VM's calls between scripted callers and upstreams, on one loop.
+/// \brief Fixture with one entry VM, scripted callers and scripted upstreams on one event loop.
 
 namespace plumdale::test
 {
 
-/// \brief A connection of a scripted upstream; collects what it is sent.
+/// \brief A connection of a scripted upstream; collects the bytes that it receives.
 class scripted_connection : public std::enable_shared_from_this<scripted_connection>
 {
 public:
@@ -27,9 +27,9 @@
 
     void read();
     void send(std::string_view bytes);
-    /// \brief Ends in order.
+    /// \brief Shuts down the sending side.
     void close();
-    /// \brief Ends with a reset.
+    /// \brief Closes the connection with a reset.
     void reset();
 
     std::string received;
@@ -40,7 +40,7 @@
     std::array<char, 8192> buffer_{};
 };
 
-/// \brief A listening upstream; the test plays its answers.
+/// \brief A listening upstream; the test sends its answers.
 class scripted_upstream
 {
 public:
@@ -65,7 +65,7 @@
 /// \brief A caller's connection.
 using scripted_caller = scripted_connection;
 
-/// \brief The entry VM under test with two upstreams of a plain service and some of an engine's.
+/// \brief The entry VM under test with two upstreams of a plain service and `engines` engines.
 class forward_fixture
 {
 public:
@@ -98,7 +98,7 @@
     std::vector<std::shared_ptr<transport::caller_channel>> channels_;
 };
 
-/// \brief Returns a whole answer with the upstream's signature.
+/// \brief Returns a complete answer of an upstream; `more_fields` may hold its signature.
 [[nodiscard]] std::string answer_text(unsigned status, std::string_view id, std::string_view body,
                                       std::string_view more_fields = {});
 /// \brief Returns the head of a stream of events in chunks.
--- a/tests/platform/test_configuration_exchange.cpp
+++ b/tests/platform/test_configuration_exchange.cpp
@@ -31,8 +31,8 @@
 
 } // namespace
 
-// A peer whose memory was damaged passes on another text under the same version: VMs would serve by
-// different configurations of one number, and no later exchange would show it.
+// Guards against a peer with damaged memory that passes on another text under the same version: VMs
+// would use different configurations of one version, and no later exchange would reveal it.
 TEST_CASE("a configuration that isn't the published one is not taken", "[configuration_exchange]")
 {
     forward_fixture fixture;
@@ -46,13 +46,13 @@
     std::uint64_t const digest = protocol::text_digest(newer_configuration);
     std::string damaged{newer_configuration};
     damaged.replace(damaged.find("services"), 8, "servicez");
-    std::string const wrong = encode_offer(damaged, digest, key);
-    exchange.receive_offer(wrong, {0x7f000001, 1});
+    std::string const damaged_offer = encode_offer(damaged, digest, key);
+    exchange.receive_offer(damaged_offer, {0x7f000001, 1});
     CHECK(fixture.core.version() == 3);
-    std::string const right = encode_offer(newer_configuration, digest, key);
-    exchange.receive_offer(right, {0x7f000001, 1});
+    std::string const valid_offer = encode_offer(newer_configuration, digest, key);
+    exchange.receive_offer(valid_offer, {0x7f000001, 1});
     CHECK(fixture.core.version() == 4);
-    // The sender of the wrong one is asked, and not there.
+    // The VM also sends a request to the damaged offer's sender, which doesn't exist.
     for (int i = 0; i < 10; ++i)
     {
         fixture.context.restart();
--- a/tests/platform/test_decision_log.cpp
+++ b/tests/platform/test_decision_log.cpp
@@ -66,8 +66,8 @@
 
 } // namespace
 
-// An operator reads the lines of a VM that lost power while its pipe was full. Half of a line had
-// been written; the process started again, and its first line stood inside the half.
+// Guards against half a line in the log of a VM that loses power while its pipe is full: the first
+// line of the restarted process would be appended to it.
 TEST_CASE("lines are written whole or not at all, however full the pipe is", "[decision_log]")
 {
     line_pipe pipe;
@@ -79,19 +79,19 @@
         log.flush();
         if (round % 7 == 0)
         {
-            // The reader takes little; the pipe fills up.
+            // The reader is slow, so the pipe fills up.
             read += pipe.read(700);
         }
     }
-    // What stands in the pipe when the process is gone.
+    // The bytes that are left in the pipe when the process has ended.
     read += pipe.read();
     REQUIRE(line_count(read) > 10);
     CHECK(read.back() == '\n');
 }
 
-// Load pattern: a release changes 120 upstreams within four seconds at each of 300 VMs. A line for
-// each change says 300 times what one reader learnt, and the lines of calls are dropped for it.
-TEST_CASE("changes of upstreams are told together", "[change_lines][load]")
+// Load pattern: a release changes 120 upstreams within four seconds at each of 300 VMs. With a line
+// for each change, every VM repeats what one reader learnt, and lines of calls are dropped.
+TEST_CASE("changes of upstreams are told together", "[directory_change_log][load]")
 {
     line_pipe pipe;
     decision_log log{pipe.writer(), "vm"};
@@ -119,7 +119,7 @@
     }
 }
 
-TEST_CASE("a single change is told at once", "[change_lines]")
+TEST_CASE("a single change is logged at once", "[directory_change_log]")
 {
     line_pipe pipe;
     decision_log log{pipe.writer(), "vm"};
@@ -133,8 +133,8 @@
     CHECK(read.find("\"revision\":7") != std::string::npos);
 }
 
-// A whole list of hundreds: what has no room for its name is counted.
-TEST_CASE("a line is bounded", "[change_lines]")
+// A list of 11,000 upstreams doesn't fit into a line: names that don't fit are counted.
+TEST_CASE("the size of a line is bounded", "[directory_change_log]")
 {
     line_pipe pipe;
     decision_log log{pipe.writer(), "vm"};
--- a/tests/platform/test_dialect.cpp
+++ b/tests/platform/test_dialect.cpp
@@ -82,8 +82,8 @@
     CHECK(head.find("39000") == std::string::npos);
 }
 
-// A caller sets a field that only the system may set, in any case. An upstream would bill another
-// customer, or go on from the memory of someone else's draft.
+// Guards against a caller that sets a field reserved for the system, in upper or lower case: an
+// upstream would bill another customer, or resume from the memory of another caller's draft.
 TEST_CASE("fields of the system are never taken from a caller", "[dialect]")
 {
     for (char const* const name :
@@ -118,7 +118,7 @@
     CHECK(has_line(text, "Plumdale-Kv-Backup: 10.0.0.2:81"));
 }
 
-TEST_CASE("a limit of requests that can't be read is none", "[dialect]")
+TEST_CASE("a malformed request limit is ignored", "[dialect]")
 {
     auto const limit_in = [](std::string const& text)
     {
@@ -199,7 +199,7 @@
     CHECK(read.routes[0].target_gap == 180ms);
     CHECK(read.routes[0].services[0].weight == 90.0);
     CHECK(read.routes[0].is_public);
-    // A kind that is not known here must not run twice.
+    // A call of an unknown kind must not run twice.
     CHECK(read.routes[1].kind == state::call_kind::non_idempotent);
     CHECK(read.routes[1].services[0].service == "t");
     REQUIRE(read.services[0].engine);
@@ -215,7 +215,7 @@
     CHECK(read.customers[0].priority == 2U);
 }
 
-TEST_CASE("malformed bodies fail and say so", "[dialect]")
+TEST_CASE("malformed bodies are reported as errors", "[dialect]")
 {
     platform_dialect const dialect;
     for (char const* const body : {"", "[", "7", "{\"a\":", "[1]"})
--- a/tests/platform/test_evacuations.cpp
+++ b/tests/platform/test_evacuations.cpp
@@ -33,10 +33,10 @@
 
 } // namespace
 
-// -- what the store tells -------------------------------------------------------------------------
+// -- orders read from the store -------------------------------------------------------------------
 
-// The operators' client may write anything, or nothing, as the value of an order.
-TEST_CASE("an order whose value can't be read is an order all the same", "[evacuation]")
+// The operators' client may write any value for an order, or none.
+TEST_CASE("an order with an unreadable value is still an order", "[evacuation]")
 {
     platform::platform_dialect const dialect;
     auto const page = dialect.read_list(
@@ -52,7 +52,7 @@
     CHECK(page.value().unusable.size() == 1);
 }
 
-TEST_CASE("a deleted key takes an order back", "[evacuation]")
+TEST_CASE("a deleted key revokes an order", "[evacuation]")
 {
     platform::platform_dialect const dialect;
     auto const page = dialect.read_changes(
@@ -62,9 +62,10 @@
     CHECK(page.value().orders[0].change.revoked);
 }
 
-// A page of orders with bytes of it changed, dropped or doubled: nothing is thrown, and no order is
-// for a zone without a name.
-TEST_CASE("seeded damage to orders and cold times is refused or read whole", "[evacuation][seeds]")
+// Pages with bytes changed, dropped or repeated: decoding doesn't throw, and no order is for a zone
+// without a name.
+TEST_CASE("randomly damaged orders and cold times never yield invalid values",
+          "[evacuation][seeds]")
 {
     platform::platform_dialect const dialect;
     std::string const page =
@@ -94,10 +95,10 @@
     }
 }
 
-// -- what obeys it --------------------------------------------------------------------------------
+// -- effects of an order --------------------------------------------------------------------------
 
-// A connection was kept at an upstream whose zone is evacuated meanwhile.
-TEST_CASE("a call goes to another zone once the own one is evacuated", "[evacuation]")
+// Guards against the reuse of a connection that is kept open to an upstream in an evacuated zone.
+TEST_CASE("a call goes to another zone once the VM's own zone is evacuated", "[evacuation]")
 {
     forward_fixture fixture;
     add_other_zone_upstream(fixture, "plain");
@@ -122,7 +123,7 @@
     CHECK(fixture.request_count("id-1") == 0);
 }
 
-// The upstream was chosen before the order came, and the bytes are to leave after it.
+// Guards against a request sent after the order to an upstream that was chosen before it.
 TEST_CASE("nothing leaves for a zone that was evacuated while the call connected", "[evacuation]")
 {
     forward_fixture fixture;
@@ -133,7 +134,7 @@
     CHECK(fixture.request_count("id-1") == 0);
 }
 
-TEST_CASE("a draft runs on in an evacuated zone", "[evacuation]")
+TEST_CASE("a running draft continues in an evacuated zone", "[evacuation]")
 {
     forward_fixture fixture;
     auto const caller = fixture.call("/draft/1", "id-1", draft_fields);
@@ -148,8 +149,8 @@
     CHECK(caller->received.find("data: e2\n") != std::string::npos);
 }
 
-// Its upstream breaks off after the order: to go on, a request would have to reach the zone.
-TEST_CASE("a draft does not go on from a backup in an evacuated zone", "[evacuation]")
+// The upstream fails after the order: to resume, a new request would have to enter the zone.
+TEST_CASE("a draft does not resume from a backup in an evacuated zone", "[evacuation]")
 {
     forward_fixture fixture;
     auto const caller = fixture.call("/draft/1", "id-1", draft_fields);
@@ -165,7 +166,7 @@
     CHECK_FALSE(caller->received.ends_with("0\r\n\r\n"));
 }
 
-TEST_CASE("calls go to a zone again when its order is taken back", "[evacuation]")
+TEST_CASE("calls go to a zone again when its order is revoked", "[evacuation]")
 {
     forward_fixture fixture;
     fixture.core.apply_evacuations(order(5), "test");
@@ -176,8 +177,8 @@
     fixture.run_until([&] { return caller->received.find("200 ") != std::string::npos; });
 }
 
-// Its upstream leaves after the order: were the backup still counted on, nothing would be copied,
-// and the draft would end with its upstream.
+// Guards against a draft that ends with its upstream: the upstream leaves after the order, and
+// nothing is copied when the backup in the evacuated zone still counts as one.
 TEST_CASE("a draft whose backup is in an evacuated zone is copied away when its upstream leaves",
           "[evacuation]")
 {
--- a/tests/platform/test_operations.cpp
+++ b/tests/platform/test_operations.cpp
@@ -43,8 +43,9 @@
     CHECK_FALSE(page.at("routes").as_array().empty());
 }
 
-// A zone is evacuated and one VM still sends there: which one shows on the pages of all.
-TEST_CASE("the status page shows the orders in force and what they keep from work", "[operations]")
+// When a zone is evacuated and one VM still sends there, the status pages show which VM it is.
+TEST_CASE("the status page shows the orders in force and the upstreams that they exclude",
+          "[operations]")
 {
     forward_fixture fixture;
     fixture.core.apply_evacuations({8, {{state::id_from_name<state::zone_id>("a"), 5}}}, "test");
@@ -58,7 +59,7 @@
     CHECK_FALSE(page.at("upstreams").as_array().front().at("takes_work").as_bool());
 }
 
-// An operator's page goes into tickets and chats; a customer's key must not go with it.
+// Operators copy the page into tickets and chats, so it must not contain a customer's key.
 TEST_CASE("the status page holds no keys", "[operations]")
 {
     forward_fixture fixture;
@@ -79,7 +80,7 @@
     fixture.run_until([&] { return served->received.ends_with("yes"); });
     CHECK(outcomes(fixture, "on_time") == 1);
 
-    // The upstream may have run it: that is a failure for the caller, not a refusal.
+    // The upstream may have run the call, so it counts as a failure and not as a refusal.
     auto const doubtful = fixture.call("/event/2", "id-2");
     fixture.upstream_connection("id-2")->close();
     fixture.run_until([&] { return doubtful->received.find("502") != std::string::npos; });
--- a/tests/platform/test_plain_calls.cpp
+++ b/tests/platform/test_plain_calls.cpp
@@ -43,7 +43,7 @@
     CHECK(fixture.core.ledger.own_generations().empty());
 }
 
-TEST_CASE("calls that are not allowed are turned away and not sent", "[plain]")
+TEST_CASE("calls that are not allowed are rejected and not sent", "[plain]")
 {
     forward_fixture fixture;
     auto const unknown_route = fixture.call("/nowhere/", "id-1");
@@ -99,8 +99,8 @@
     CHECK(fixture.request_count("id-1") == 2);
 }
 
-// A household's door event was sent; the connection to the upstream breaks before an answer. It may
-// have run: sent again it would count twice, refused as "not run" the caller would send it again.
+// The connection to the upstream breaks after the request was sent and before an answer. The call
+// may have run: a retry would count it twice, and after a "not run" the caller itself would retry.
 TEST_CASE("a call that may have run and may not be repeated is neither sent again nor refused as "
           "not run",
           "[plain]")
@@ -132,8 +132,8 @@
     fixture.run_until([&] { return caller->received.ends_with("yes"); });
 }
 
-// Another service got the address of an upstream that is gone. Its answer says so by a status; the
-// call did not run there, and nothing more is sent to that incarnation.
+// An upstream is gone and another service has its address. That service answers with status 421:
+// the call did not run there, and no more calls are sent to the old incarnation.
 TEST_CASE("an upstream that is another incarnation gets no more calls", "[plain]")
 {
     forward_fixture fixture;
@@ -151,8 +151,8 @@
     }
 }
 
-// An answer that nobody waits for any more comes on a kept connection just when the next call was
-// sent on it. The next caller must not get another one's answer.
+// Guards against a caller that gets another call's answer: a late answer to an abandoned call
+// arrives on a reused connection just after the next call was sent on it.
 TEST_CASE("an answer to another call is not passed on", "[plain]")
 {
     forward_fixture fixture;
@@ -179,8 +179,8 @@
     CHECK(second->received.find("extra") == std::string::npos);
 }
 
-// The upstream broke off; without a length its answer looks whole. A caller would take half a body
-// for the whole one.
+// Guards against a caller that takes half a body for the whole one: the upstream fails in the
+// middle of an answer, which looks complete when it has no length.
 TEST_CASE("answers that may be cut, are unsigned or coded are not passed on", "[plain]")
 {
     std::string const unframed = "HTTP/1.1 200 OK\r\nPlumdale-Request-Id: id-1\r\n" +
@@ -226,8 +226,8 @@
     fixture.run_until([&] { return upstream_connection->ended; });
 }
 
-// The store turns this entry VM's upstreams away one after another: what can't be reached was not
-// sent to, so all of them may be tried and the refusal is true.
+// Nothing is sent to an upstream that can't be reached. The call may therefore be tried at each of
+// them, and refusing it as not run is correct.
 TEST_CASE("upstreams that can't be reached leave a call as not run", "[plain]")
 {
     forward_fixture fixture;
@@ -242,7 +242,7 @@
     CHECK(fixture.request_count("id-1") == 0);
 }
 
-TEST_CASE("calls on one connection are answered in their order", "[plain]")
+TEST_CASE("calls on one connection are answered in order", "[plain]")
 {
     forward_fixture fixture;
     auto const caller = fixture.call("/event/1", "id-1");
@@ -254,8 +254,7 @@
     CHECK(caller->received.find("one") < caller->received.find("two"));
 }
 
-// A call waited while its configuration was taken away and its upstreams left: it is looked at
-// again before it is sent.
+// A call's upstreams may leave while it waits, so they are checked again before it is sent.
 TEST_CASE("nothing new is sent to an upstream that leaves", "[plain]")
 {
     forward_fixture fixture;
@@ -272,8 +271,8 @@
     CHECK(fixture.request_count("id-1") == 0);
 }
 
-// A peer that lags, or a store that answers from the past, offers the configuration before. A key
-// that was revoked since would be accepted again.
+// Guards against a lagging peer or a stale answer of the store that offers an earlier
+// configuration: a key revoked since then would be accepted again.
 TEST_CASE("a configuration never goes back within a process's life", "[plain]")
 {
     forward_fixture fixture;
@@ -286,8 +285,8 @@
     CHECK(fixture.core.version() == 5);
 }
 
-// A door event is read 7.9 s after SIGTERM, of 8 s of grace, and sent; the process ends 10 ms
-// later. The caller sees a closed connection for a call that ran, and can't send it again.
+// A call is read and sent 7.9 s after SIGTERM, with a grace period of 8 s; the process ends 10 ms
+// later. The call ran, but its caller sees a closed connection and can't send it again.
 TEST_CASE("an entry VM that is about to end takes no call that it can't answer", "[plain]")
 {
     forward_fixture fixture;
@@ -297,16 +296,15 @@
     CHECK(has_status(*caller, "503"));
     CHECK(fixture.request_count("id-1") == 0);
 
-    // With time for its route's timeout left it is served.
+    // A call is served when the time left covers its route's timeout.
     fixture.core.closing_since = transport::boot_now() - (fixture.settings.grace - 4s);
     auto const earlier = fixture.call("/event/2", "id-2");
     fixture.upstream_connection("id-2")->send(answer_text(200, "id-2", "yes", signature_field));
     fixture.run_until([&] { return earlier->received.ends_with("yes"); });
 }
 
-// A late answer to another call, or a refusal with a text, is thrown away and the call is sent to a
-// second upstream. The caller must get the second answer alone, not the bytes of the first in front
-// of it.
+// A late answer to another call, or a refusal with a body, is discarded and the call is sent to a
+// second upstream. The caller must get the second answer only, without bytes of the first.
 TEST_CASE("nothing of a discarded answer is in front of the next one", "[plain]")
 {
     std::string const refusal = answer_text(503, "id-1", "refusal", "Plumdale-Not-Executed: 1\r\n");
--- a/tests/platform/test_request_quarantine.cpp
+++ b/tests/platform/test_request_quarantine.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view token_usage_field = "Plumdale-Token-Usage: 2800,900\r\n";
 constexpr int attempts = 8;
-/// \brief The fleet may lose so many upstreams to one request before all VMs refuse it.
+/// \brief Upstreams that the fleet may lose to one request before all VMs refuse it.
 constexpr std::size_t max_ended_upstreams = 3;
 
 bool is_refused(scripted_caller const& caller)
@@ -26,8 +26,8 @@
     return caller.received.find("\r\n\r\n") != std::string::npos;
 }
 
-/// \brief Sends the same request again and again; each upstream that runs it ends.
-/// \returns how many upstreams ended under it
+/// \brief Sends the same request repeatedly; each upstream that runs it ends.
+/// \returns the number of upstreams that ended
 std::size_t count_ended_upstreams(forward_fixture& fixture, std::string_view path,
                                   std::string_view fields)
 {
@@ -53,9 +53,10 @@
 
 } // namespace
 
-// Guards against a request that ends each upstream that runs it: sent again under new ids, it ended
-// one upstream after the other.
-TEST_CASE("a stream that ends each upstream that runs it is refused before a fourth", "[ending]")
+// Guards against a request that ends each upstream that runs it: when its caller sends it again
+// under new ids, it ends one upstream after the other.
+TEST_CASE("a stream that ends each upstream that runs it is refused before a fourth",
+          "[request_quarantine]")
 {
     forward_fixture fixture{6};
     CHECK(count_ended_upstreams(fixture, "/draft/1", token_usage_field) <= max_ended_upstreams);
--- a/tests/platform/test_stated_limits.cpp
+++ b/tests/platform/test_stated_limits.cpp
@@ -14,8 +14,7 @@
 constexpr std::string_view signature_field = "Plumdale-Response-Seal: seal\r\n";
 constexpr std::string_view limit_fields = "Plumdale-Response-Seal: seal\r\nServer-Limit: 1\r\n";
 
-/// \brief Answers all calls that are waiting at the first upstream with a limit, at the second
-/// without.
+/// \brief Answers all waiting calls; the first upstream states a limit, the second states none.
 void answer_all(forward_fixture& fixture, std::string const& id)
 {
     for (std::size_t i = 0; i < 2; ++i)
@@ -27,7 +26,7 @@
     }
 }
 
-/// \brief Returns how many calls arrived at an upstream, on whatever connections.
+/// \brief Returns the number of calls that arrived at an upstream, on all its connections.
 std::size_t received_count(scripted_upstream const& upstream)
 {
     constexpr std::string_view mark = "Plumdale-Request-Id: ";
@@ -45,8 +44,8 @@
 
 } // namespace
 
-// Guards against an upstream in need that gets what it gets without it: two of its four seconds'
-// requests came in one.
+// Guards against an upstream that gets as many requests as without its limit: of the requests for
+// four seconds, those for two arrived within one.
 TEST_CASE("an upstream that states a limit gets no more than that", "[limits]")
 {
     forward_fixture fixture;
@@ -60,7 +59,7 @@
         answer_all(fixture, id);
         fixture.run_until([&] { return caller->received.ends_with("yes"); });
     }
-    // What was sent before it was stated, one at once, and one for each second that the test took.
+    // Calls sent before the limit was stated, one at once, and one for each second of the test.
     std::chrono::duration<double> const took = std::chrono::steady_clock::now() - began;
     CHECK(static_cast<double>(received_count(*fixture.upstreams[0])) <= 3.0 + took.count());
     CHECK(received_count(*fixture.upstreams[0]) + received_count(*fixture.upstreams[1]) == calls);
--- a/tests/platform/test_store_entries.cpp
+++ b/tests/platform/test_store_entries.cpp
@@ -12,8 +12,8 @@
 using namespace plumdale;
 namespace json = boost::json;
 
-// Load pattern: a store that others write to as well. Entries are as upstreams write them; the
-// damage is what a writer of another format, an older program or a torn write leaves.
+// Load pattern: a store with other writers. Valid entries are as upstreams write them; damaged ones
+// are as a writer of another format, an older program or a torn write leaves them.
 
 namespace
 {
@@ -54,7 +54,7 @@
     return std::move(page.value());
 }
 
-// Reads a page with the entry between two good ones; the good ones have to hold.
+// Reads a page with the entry between two valid ones and checks that those are decoded.
 protocol::store_page read_between_valid_entries(std::string_view value)
 {
     std::string const good = json::serialize(valid_entry());
@@ -80,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("an upstream's entry is read with its start", "[store_entries]")
+TEST_CASE("an upstream's entry is read with its incarnation", "[store_entries]")
 {
     protocol::store_page const page = read_between_valid_entries(json::serialize(valid_entry()));
     REQUIRE(page.members.size() == 3);
@@ -90,9 +90,9 @@
     CHECK(page.members[1].usable);
 }
 
-// A caller's call would go to an address that nobody serves, or wait there for its whole time. An
-// entry comes from another writer: one field of it is missing, or is of another type. It names no
-// upstream, the entries beside it hold, and the log can say which field it was.
+// An entry of another writer lacks a field or has one of another type. Were it used, a call would
+// go to an address without a server, or wait there until its timeout. The entry is skipped, the
+// other entries of the page stay valid, and the log can name the field.
 TEST_CASE("an entry with a field missing or of another type names no upstream", "[store_entries]")
 {
     for (auto const& field : valid_entry())
@@ -115,7 +115,7 @@
     }
 }
 
-TEST_CASE("an entry with an unknown state or figures out of range names no upstream",
+TEST_CASE("an entry with an unknown state or numbers out of range names no upstream",
           "[store_entries]")
 {
     std::vector<std::pair<std::string, json::value>> const cases{
@@ -134,8 +134,7 @@
     }
 }
 
-TEST_CASE("a platform whose upstreams don't tell their start is served as before",
-          "[store_entries]")
+TEST_CASE("entries without an incarnation are valid", "[store_entries]")
 {
     json::object without = valid_entry();
     without.erase("born");
@@ -144,7 +143,8 @@
     CHECK(page.members[1].started.value == 0);
 }
 
-TEST_CASE("odd keys name no upstream, and a removal is not taken for damage", "[store_entries]")
+TEST_CASE("invalid keys name no upstream, and a removal is not reported as damage",
+          "[store_entries]")
 {
     std::string const good = json::serialize(valid_entry());
     protocol::store_page const page =
@@ -158,9 +158,10 @@
     CHECK(page.unusable.size() == 3);
 }
 
-// Whole pages with bytes of any entry changed, dropped or doubled: nothing is thrown, and what is
-// read as an upstream has an address, a service and slots.
-TEST_CASE("seeded damage to pages of the store never yields half an upstream", "[store_entries]")
+// Pages with bytes of an entry changed, dropped or repeated: decoding doesn't throw, and each
+// decoded upstream has an address, a service and slots.
+TEST_CASE("randomly damaged pages of the store never yield an incomplete upstream",
+          "[store_entries]")
 {
     std::minstd_rand random{7};
     std::string const good = json::serialize(valid_entry());
--- a/tests/platform/test_store_reader.cpp
+++ b/tests/platform/test_store_reader.cpp
@@ -24,17 +24,18 @@
     return descriptor;
 }
 
-std::size_t count(std::string const& text, std::string_view what)
+std::size_t count(std::string const& text, std::string_view pattern)
 {
     std::size_t found = 0;
-    for (std::size_t at = text.find(what); at != std::string::npos; at = text.find(what, at + 1))
+    for (std::size_t at = text.find(pattern); at != std::string::npos;
+         at = text.find(pattern, at + 1))
     {
         ++found;
     }
     return found;
 }
 
-/// \brief An entry VM that knows nothing yet, and the store that it asks.
+/// \brief An entry VM that starts without data, and the store that it reads.
 struct starting_vm
 {
     explicit starting_vm(bool is_seed)
@@ -58,7 +59,7 @@
         return chosen;
     }
 
-    /// \brief Runs for `time`; each request is answered as not published.
+    /// \brief Runs for `time` and answers each request with `reply`.
     void run(state::duration time)
     {
         auto const end = std::chrono::steady_clock::now() + time;
@@ -101,7 +102,7 @@
     protocol::forward_settings settings;
     transport::forward_core core;
     transport::store_reader reader;
-    /// \brief Answers of the store by the request.
+    /// \brief Returns the store's answer to a request.
     std::function<std::string(std::string_view)> reply = [](std::string_view /*request*/)
     {
         return std::string{not_published};
@@ -109,34 +110,34 @@
     std::map<scripted_connection*, std::size_t> answer_counts;
 };
 
-std::string found(std::string_view body)
+std::string ok_answer(std::string_view body)
 {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
            std::string{body};
 }
 
-// The store's answers to reads: a configuration and `orders`, as of `revision`.
+// Returns the store's answer to a read: a configuration and `orders`, as of `revision`.
 std::string operator_entries_page(std::string_view orders, std::uint64_t revision)
 {
     // {"version":3}
-    return found(R"({"items":[{"key":"op/config","value":"eyJ2ZXJzaW9uIjozfQ==","revision":2})" +
-                 std::string{orders} + R"(],"hasMore":false,"atRev":)" + std::to_string(revision) +
-                 "}");
+    return ok_answer(
+        R"({"items":[{"key":"op/config","value":"eyJ2ZXJzaW9uIjozfQ==","revision":2})" +
+        std::string{orders} + R"(],"hasMore":false,"atRev":)" + std::to_string(revision) + "}");
 }
 
 constexpr std::string_view east_at_5 = R"(,{"key":"op/evacuate/east","value":"","revision":5})";
 constexpr auto east = state::id_from_name<state::zone_id>("east");
 
-bool contains(std::string_view request, std::string_view what)
+bool contains(std::string_view request, std::string_view pattern)
 {
-    return request.find(what) != std::string_view::npos;
+    return request.find(pattern) != std::string_view::npos;
 }
 
 } // namespace
 
-// All 300 VMs lose power and start at the same moment, and callers come at once. Each needs the
-// configuration and the list before it can serve; a read that may lag is not turned away however
-// many ask.
+// All 300 VMs restart at the same moment after a power loss, and calls arrive at once. Each VM
+// needs the configuration and the list before it can serve; the store never rejects a read that may
+// lag, however many VMs read.
 TEST_CASE("what a VM reads at its start may lag", "[store_reader][load]")
 {
     for (bool const is_seed : {false, true})
@@ -148,21 +149,21 @@
     }
 }
 
-// Nothing is published for some seconds after the first start. Were 300 VMs to ask each 0.4 s, the
-// store would answer 750 times a second that there is nothing; the seeds ask, and tell the others.
+// Nothing is published for some seconds after the first start. If 300 VMs polled every 0.4 s, the
+// store would answer 750 times a second that there is nothing; so seeds poll and inform the others.
 TEST_CASE("before anything is published only seeds ask often", "[store_reader][load]")
 {
     starting_vm seed{true};
     seed.run(1'000ms);
     CHECK(seed.request_count() >= 3);
-    // What may lag would tell of the publication seconds later.
+    // A read that may lag would show the publication seconds later.
     CHECK(count(seed.store.connections.front()->received, allow_stale) == 1);
     starting_vm other{false};
     other.run(900ms);
     CHECK(other.request_count() == 1);
 }
 
-// An order that was given before this VM started, and is told by no watch.
+// Guards against a missed order: one given before this VM started isn't reported by the watch.
 TEST_CASE("a VM that starts learns of the orders in force", "[store_reader][evacuation]")
 {
     starting_vm vm{true};
@@ -173,15 +174,15 @@
     };
     vm.run(200ms);
     CHECK(vm.core.directory.evacuations().covers(east));
-    // What may lag is as of its newest part: a peer that knows of revision 6 knows better.
+    // A read that may lag counts as of its newest item: a peer's set as of revision 6 is newer.
     CHECK(vm.core.directory.evacuations().known().as_of == 5);
     vm.core.apply_evacuations({6, {}}, "test");
     CHECK_FALSE(vm.core.directory.evacuations().covers(east));
 }
 
-// The store dropped the history in which an order was given, and later the one in which it was
-// taken back: the watch tells of neither.
-TEST_CASE("orders are read anew when the history was dropped", "[store_reader][evacuation]")
+// The store dropped the history in which an order was given, and later the history in which it was
+// revoked, so the watch reports neither.
+TEST_CASE("orders are read again when the history was dropped", "[store_reader][evacuation]")
 {
     starting_vm vm{true};
     int reads = 0;
@@ -189,14 +190,14 @@
     {
         if (contains(request, "prefix=op"))
         {
-            // The first two: what may lag, and what is current.
+            // The first two reads are the one that may lag and the current one.
             ++reads;
             return operator_entries_page(reads <= 2 ? std::string_view{} : east_at_5,
                                          3U + 10U * reads);
         }
         if (contains(request, "prefix=servers"))
         {
-            return found(R"({"items":[],"hasMore":false,"atRev":4})");
+            return ok_answer(R"({"items":[],"hasMore":false,"atRev":4})");
         }
         return std::string{"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"};
     };
@@ -205,7 +206,7 @@
     CHECK(vm.core.directory.evacuations().covers(east));
 }
 
-TEST_CASE("an order that the watch tells is in force, and passed on, until it is taken back",
+TEST_CASE("an order that the watch reports is in force, and passed on, until it is revoked",
           "[store_reader][evacuation]")
 {
     starting_vm vm{true};
@@ -223,14 +224,16 @@
         }
         if (contains(request, "prefix=servers"))
         {
-            return found(R"({"items":[],"hasMore":false,"atRev":4})");
+            return ok_answer(R"({"items":[],"hasMore":false,"atRev":4})");
         }
         ++watches;
-        std::string_view const given =
+        std::string_view const order_added =
             R"({"events":[{"key":"op/evacuate/east","value":"","revision":5}],"atRev":5})";
-        std::string_view const back =
+        std::string_view const order_revoked =
             R"({"events":[{"key":"op/evacuate/east","revision":8,"deleted":true}],"atRev":8})";
-        return found(watches == 1 ? given : watches == 2 ? back : R"({"events":[],"atRev":8})");
+        return ok_answer(watches == 1   ? order_added
+                         : watches == 2 ? order_revoked
+                                        : R"({"events":[],"atRev":8})");
     };
     auto const run_until = [&vm](auto const& condition)
     {
@@ -247,8 +250,8 @@
     CHECK(vm.core.directory.evacuations().known().as_of == 8);
 }
 
-// Load pattern: all VMs of a fleet of hundreds start at once before thousands of upstreams. Each
-// passed on to all others what all read.
+// Load pattern: all VMs of a fleet of hundreds start at once with thousands of upstreams. Each VM
+// passed on to all others the list that all of them had read.
 TEST_CASE("the list that a VM reads at its start is no news to a large fleet",
           "[store_reader][load]")
 {
@@ -271,13 +274,13 @@
         }
         if (contains(request, "prefix=servers"))
         {
-            // One came after what may lag was true.
+            // The read that may lag lacks the newest upstream.
             std::string const items = contains(request, allow_stale)
                                           ? item("i-1", 1)
                                           : item("i-1", 1) + "," + item("i-2", 4);
-            return found(R"({"items":[)" + items + R"(],"hasMore":false,"atRev":4})");
+            return ok_answer(R"({"items":[)" + items + R"(],"hasMore":false,"atRev":4})");
         }
-        return found(R"({"events":[],"atRev":4})");
+        return ok_answer(R"({"events":[],"atRev":4})");
     };
     for (int round = 0; round < 100 && vm.core.directory.entries().size() < 2; ++round)
     {
@@ -299,7 +302,7 @@
     "eyJzZXJ2aWNlIjoicyIsImFkZHJlc3MiOiIxMC4wLjAuOTo4MCIsInpvbmUiOiJhIiwidmVyc2lvbiI6InYxIiwi"
     "c2xvdHMiOjI0LCJzdGF0ZSI6InJlYWR5IiwiY29sZExlZnRNcyI6MCwic2VxdWVuY2UiOjR9";
 
-/// \brief A store that can come back from a copy of a former state.
+/// \brief A store that can be restored from a copy of an earlier state.
 struct restorable_store
 {
     std::map<std::string, int> items;
@@ -318,7 +321,7 @@
         removed.emplace_back(key, ++revision);
     }
 
-    /// \brief Everything is as in `copy`, and one era later.
+    /// \brief Restores the state of `copy` and begins the next era.
     void restore_from(restorable_store const& copy)
     {
         int const next = era + 1;
@@ -379,7 +382,7 @@
     }
 };
 
-/// \brief A VM that reads such a store.
+/// \brief A VM that reads a `restorable_store`.
 struct reading_vm : starting_vm
 {
     reading_vm() : starting_vm{true}
@@ -415,7 +418,7 @@
 
 } // namespace
 
-// Guards against new upstreams that nobody hears of, as the store gives their revisions out a
+// Guards against new upstreams that no VM learns of because the restored store assigns revisions a
 // second time.
 TEST_CASE("what is written after the store came back from a copy is heard",
           "[store_reader][store_era]")
@@ -432,7 +435,7 @@
     vm.content.write("servers/i-4");
     vm.content.write("servers/i-1");
     vm.run_until([&] { return vm.is_listed("i-4"); });
-    // One that has not written again yet may still do so.
+    // An upstream that has not written its entry again yet may still do so.
     CHECK(vm.is_listed("i-3"));
     vm.content.remove("servers/i-1");
     vm.run_until([&] { return !vm.is_listed("i-1"); });
@@ -440,9 +443,8 @@
     CHECK(vm.is_listed("i-2"));
 }
 
-// Guards against work for an upstream that is gone: its entry is in the copy, where its removal is
-// not.
-TEST_CASE("what was removed is not listed again by a copy of the store",
+// Guards against calls to an upstream that is gone: the copy has its entry but not its removal.
+TEST_CASE("a removed upstream is not listed again after the store was restored from a copy",
           "[store_reader][store_era]")
 {
     reading_vm vm;
@@ -453,13 +455,13 @@
     vm.content.write("servers/i-5");
     vm.run_until([&] { return vm.is_listed("i-5"); });
     CHECK_FALSE(vm.is_listed("i-2"));
-    // It lives, and writes its entry again.
+    // The upstream is alive after all and writes its entry again.
     vm.content.write("servers/i-2");
     vm.run_until([&] { return vm.is_listed("i-2"); });
 }
 
-// Guards against requests to an evacuated zone between the store's return and the operator's
-// writing the order again.
+// Guards against requests to an evacuated zone after the store was restored and before the operator
+// has written the order again.
 TEST_CASE("an order that the copy of the store lacks stays in force until it can be written again",
           "[store_reader][store_era][evacuation]")
 {
--- a/tests/platform/test_stream_calls.cpp
+++ b/tests/platform/test_stream_calls.cpp
@@ -19,10 +19,11 @@
     "Plumdale-Request-Deadline-Ms: 39000\r\n";
 constexpr std::string_view last_chunk = "0\r\n\r\n";
 
-std::size_t count(std::string const& text, std::string_view what)
+std::size_t count(std::string const& text, std::string_view pattern)
 {
     std::size_t found = 0;
-    for (std::size_t at = text.find(what); at != std::string::npos; at = text.find(what, at + 1))
+    for (std::size_t at = text.find(pattern); at != std::string::npos;
+         at = text.find(pattern, at + 1))
     {
         ++found;
     }
@@ -42,7 +43,7 @@
     fixture.core.apply_members(updates, "test");
 }
 
-/// \brief A draft that runs at an upstream and has made three events.
+/// \brief A draft that runs at an upstream and has produced three events.
 struct running_draft
 {
     explicit running_draft(forward_fixture& fixture)
@@ -79,7 +80,7 @@
     return nullptr;
 }
 
-// Fills the upstreams so far that drafts get no backup, as on a crowded day.
+// Fills the engines so far that drafts get no backup, as under high load.
 void fill_engines(forward_fixture& fixture)
 {
     for (int i = 2; i < 5; ++i)
@@ -92,7 +93,7 @@
 
 } // namespace
 
-TEST_CASE("events are passed on as they come and the end is the upstream's", "[stream]")
+TEST_CASE("events are passed on as they arrive and the end is the upstream's", "[stream]")
 {
     forward_fixture fixture;
     running_draft draft{fixture};
@@ -104,8 +105,8 @@
 }
 
 // The upstream crashes in the middle of an event and there is no copy of its memory. The caller
-// must see that the answer broke off, and must not see half an event.
-TEST_CASE("a stream that breaks without a copy does not look whole", "[stream]")
+// must be able to detect that the answer is incomplete, and must not get half an event.
+TEST_CASE("a stream that breaks without a copy does not look complete", "[stream]")
 {
     forward_fixture fixture;
     fill_engines(fixture);
@@ -117,9 +118,9 @@
     CHECK(draft.caller->received.find("e4") == std::string::npos);
 }
 
-// The answer has no length and its connection ends: a crash looks the same, so the caller must not
-// be told that the stream is whole.
-TEST_CASE("a stream of unknown length never ends as whole", "[stream]")
+// The answer has no length and its connection ends. A crash looks the same, so the stream must not
+// be ended as a complete one.
+TEST_CASE("a stream of unknown length never ends as complete", "[stream]")
 {
     forward_fixture fixture;
     fill_engines(fixture);
@@ -145,9 +146,9 @@
     CHECK(fixture.request_count("Plumdale-Request-Id: id-1") == 1);
 }
 
-// Memory is free: the draft has a backup on another upstream. Its own is reclaimed without a word;
-// the caller's stream goes on from the backup, each event once and in order.
-TEST_CASE("a draft goes on from its backup when its upstream is gone", "[stream]")
+// Memory is free, so the draft has a backup at another upstream. Its own upstream is reclaimed
+// without notice; the stream resumes from the backup, with each event once and in order.
+TEST_CASE("a draft resumes from its backup when its upstream is gone", "[stream]")
 {
     forward_fixture fixture;
     running_draft draft{fixture};
@@ -164,8 +165,8 @@
     CHECK(count(draft.caller->received, "HTTP/1.1") == 1);
 }
 
-// A crowded day: no backup. The upstream gets notice; its memory is copied while the draft runs,
-// then the draft is stopped by a last copy and goes on at the destination.
+// Under high load the draft has no backup. When its upstream announces that it leaves, its memory
+// is copied while the draft runs; a last copy stops the draft, which resumes at the destination.
 TEST_CASE("a draft is moved off an upstream that leaves", "[stream]")
 {
     forward_fixture fixture;
@@ -190,9 +191,9 @@
     CHECK(draft.caller->received.find("data: e4\n") < draft.caller->received.find("data: e5\n"));
 }
 
-// A draft waits for its prompt to be read when its upstream gets notice. There is nothing to copy
-// yet; orders every 50 ms told all peers of a copy at one destination after the other, which then
-// looked full. The copy is ordered with the first event.
+// An upstream announces that it leaves while it still reads a draft's prompt, so there is nothing
+// to copy yet. Orders every 50 ms announced a copy at one destination after the other to all peers,
+// and the destinations looked full. The copy is ordered with the first event.
 TEST_CASE("no copy is ordered of a draft without an event", "[stream]")
 {
     forward_fixture fixture;
@@ -207,7 +208,7 @@
     CHECK(fixture.core.metrics.value(transport::forward_count::copies_first) == 1);
 }
 
-// Questions end within a notice. Their copies would only hold up those of drafts on the link.
+// Questions end within the notice period. Their copies would only delay those of drafts.
 TEST_CASE("an answer that ends before its upstream is gone is not copied", "[stream]")
 {
     forward_fixture fixture;
@@ -240,10 +241,10 @@
     CHECK(fixture.core.calls_in_progress == 0);
 }
 
-// Load pattern: all upstreams are crowded and more calls come than memory is freed. A draft that
-// waits in an upstream's queue is late and in doubt; here it is refused at once as not run, and
-// told when to come back: within a third of its time, and not with all others at the same moment.
-TEST_CASE("a draft that finds no room is refused as not run", "[stream][load]")
+// Load pattern: all upstreams are full and calls arrive faster than memory is freed. A draft queued
+// at an upstream would be late and might have run. It is refused at once as not run, with a delay
+// for the retry: within a third of its time limit, and spread so that retries don't coincide.
+TEST_CASE("a draft that fits into no upstream is refused as not run", "[stream][load]")
 {
     forward_fixture fixture;
     for (int i = 2; i < 5; ++i)
@@ -274,9 +275,9 @@
     CHECK(fixture.request_count("id-1") == 0);
 }
 
-// The upstream that keeps the backup is reclaimed long before the draft's own. The caller's draft
-// goes on meanwhile, event by event. When its own upstream leaves, a backup that is gone must not
-// be counted on: nothing would be copied, and the draft would be cut.
+// The upstream with the backup is reclaimed long before the draft's own, and the draft runs on.
+// When its own upstream leaves, the lost backup must not count as one: nothing would be copied, and
+// the draft would be cut off.
 TEST_CASE("a draft whose backup left is copied when its own upstream leaves", "[stream]")
 {
     forward_fixture fixture;
@@ -291,14 +292,14 @@
     CHECK(fixture.request_count("\"isLast\":false") == 1);
 }
 
-// -- upstreams that start again -------------------------------------------------------------------
+// -- upstreams that restart -----------------------------------------------------------------------
 
 namespace
 {
 
 constexpr std::uint64_t first_incarnation = 1'784'177'000'000;
 
-// All engines tell their start, as the platform's list has it before the draft begins.
+// Lists all upstreams with their incarnations, as the platform does before the draft begins.
 void announce_incarnations(forward_fixture& fixture)
 {
     std::vector<state::service_member> members;
@@ -319,10 +320,10 @@
 
 } // namespace
 
-// A caller's draft stands still in the middle: its upstream lost power and was started again under
-// its name, and the connection to the former start stays silent. The list tells of the new start;
-// the draft goes on from its backup at once and not when the caller has given up.
-TEST_CASE("a draft whose upstream started again goes on from its backup", "[stream][restart]")
+// Guards against a draft that stalls until its caller gives up: its upstream lost power and
+// restarted under the same name, and the old connection stays silent. Once the list shows the new
+// incarnation, the draft resumes from its backup at once.
+TEST_CASE("a draft whose upstream restarted resumes from its backup", "[stream][restart]")
 {
     forward_fixture fixture;
     announce_incarnations(fixture);
@@ -338,8 +339,8 @@
     CHECK(fixture.core.ledger.own_generations().empty());
 }
 
-// Without a backup nothing is left of it: the caller is told at once that the answer broke off.
-TEST_CASE("a draft whose upstream started again without a backup breaks off at once",
+// Without a backup the draft can't resume, so the caller's connection is closed at once.
+TEST_CASE("a draft without a backup breaks off at once when its upstream restarts",
           "[stream][restart]")
 {
     forward_fixture fixture;
@@ -357,10 +358,9 @@
     CHECK(draft.caller->received.find(last_chunk) == std::string::npos);
 }
 
-// The upstream that keeps the backup starts again and has nothing of it. When the draft's own
-// upstream breaks off afterwards, the draft must not be sent there to go on from memory that isn't
-// there.
-TEST_CASE("a backup is not counted on once its upstream started again", "[stream][restart]")
+// The upstream with the backup restarts and loses it. When the draft's own upstream fails
+// afterwards, the draft must not be sent there to resume from memory that is gone.
+TEST_CASE("a backup is not used once its upstream restarted", "[stream][restart]")
 {
     forward_fixture fixture;
     announce_incarnations(fixture);
@@ -373,9 +373,9 @@
     CHECK(fixture.request_count("Kv-From: ") == 0);
 }
 
-// The draft was sent and had no event yet when its upstream started again. The former start may
-// have run it, so the caller is not told that it hasn't: that would invite a second run.
-TEST_CASE("a draft sent to a former start is answered as one that may have run",
+// The draft was sent and had no event yet when its upstream restarted. The old incarnation may have
+// run it, so it must not be refused as not run: the caller would run it a second time.
+TEST_CASE("a draft sent to an earlier incarnation is answered as one that may have run",
           "[stream][restart]")
 {
     forward_fixture fixture;
@@ -388,9 +388,9 @@
     CHECK(fixture.request_count("id-1") == 1);
 }
 
-// An entry of another writer stands in place of the upstream's own. The draft that runs there goes
-// on; a new one goes elsewhere.
-TEST_CASE("a draft runs on while its upstream's entry is unreadable", "[stream][restart]")
+// Another writer has overwritten the upstream's entry. A draft that runs there continues; a new one
+// goes to another upstream.
+TEST_CASE("a draft continues while its upstream's entry is unreadable", "[stream][restart]")
 {
     forward_fixture fixture;
     running_draft draft{fixture};
