--- a/standins/answer_check.hpp
+++ b/standins/answer_check.hpp
@@ -13,7 +13,7 @@
 namespace plumdale::standins
 {
 
-struct seen_token
+struct received_token
 {
     std::string id; ///< `<generation>@<upstream>/<index>`
     std::string text;
@@ -21,14 +21,14 @@
 
 /// \brief Returns what is wrong with an answer, or an empty text: it must hold `expected` tokens in
 /// order, from one generation, and each from the same run on an engine.
-[[nodiscard]] inline std::string check_answer(std::vector<seen_token> const& tokens,
+[[nodiscard]] inline std::string check_answer(std::vector<received_token> const& tokens,
                                               std::uint32_t expected)
 {
     std::string const first = tokens.empty() ? std::string{} : tokens.front().id;
     std::string const generation = first.substr(0, first.find_first_of("@/"));
     for (std::uint32_t index = 0; index < tokens.size(); ++index)
     {
-        seen_token const& token = tokens[index];
+        received_token const& token = tokens[index];
         std::string const place = "token " + std::to_string(index) + " (" + token.id + ") ";
         if (token.id.substr(0, token.id.find_first_of("@/")) != generation)
         {
--- a/standins/check.cpp
+++ b/standins/check.cpp
@@ -15,9 +15,9 @@
 
 namespace json = boost::json;
 
-std::vector<seen_token> read_tokens(json::object const& answer)
+std::vector<received_token> read_tokens(json::object const& answer)
 {
-    std::vector<seen_token> tokens;
+    std::vector<received_token> tokens;
     for (json::value const& token : answer.at("tokens").as_array())
     {
         tokens.push_back(
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::string_view streams_path = "/v1/streams/";
 
-std::uint64_t uptime_now()
+std::uint64_t incarnation_from_clock()
 {
     auto const now = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(now / std::chrono::microseconds{1});
@@ -22,12 +22,12 @@
 
 stream_request decode(json::object const& from)
 {
-    return {text_of(from, "generation"),
-            text_of(from, "model"),
-            text_of(from, "kind"),
-            text_of(from, "prompt"),
-            number_of<std::uint32_t>(from, "max_tokens"),
-            number_of<std::int32_t>(from, "priority")};
+    return {string_member(from, "generation"),
+            string_member(from, "model"),
+            string_member(from, "kind"),
+            string_member(from, "prompt"),
+            number_member<std::uint32_t>(from, "max_tokens"),
+            number_member<std::int32_t>(from, "priority")};
 }
 
 std::string_view state_name(run_state state)
@@ -42,11 +42,12 @@
                engine_wire_settings const& wire)
     : io_{io}, settings_{model}, wire_{wire}, model_{model}, orders_{wire.fences_orders,
                                                                      wire.load_weights},
-      reports_{wire.reports, wire.incarnation_number == 0 ? uptime_now() : wire.incarnation_number},
-      step_timer_{io}, load_timer_{io}, beat_timer_{io}
+      reports_{wire.reports,
+               wire.incarnation_number == 0 ? incarnation_from_clock() : wire.incarnation_number},
+      step_timer_{io}, load_timer_{io}, heartbeat_timer_{io}
 {
-    report_load();
-    beat();
+    sample_load();
+    send_heartbeats();
 }
 
 void engine::handle(http_request const& request, http_exchange_ptr const& exchange)
@@ -61,7 +62,7 @@
     }
     else if (silent_)
     {
-        readers_.hold(exchange);
+        readers_.hold_open(exchange);
     }
     else
     {
@@ -93,7 +94,7 @@
     }
     else if (path == "/v1/orders")
     {
-        take_order(request, exchange);
+        handle_order(request, exchange);
     }
     else
     {
@@ -104,7 +105,7 @@
 void engine::serve_stream(http_request const& request, http_exchange_ptr const& exchange)
 {
     engine_run const* const run = model_.find(request.path.substr(streams_path.size()));
-    if (run == nullptr || forgotten(*run))
+    if (run == nullptr || is_retention_expired(*run))
     {
         exchange->answer(404, R"({"error":"unknown_generation"})");
     }
@@ -137,7 +138,7 @@
     delivered_.push_back(0);
     if (clock::now() >= leaving_since_)
     {
-        started_leaving_.insert(run);
+        started_while_leaving_.insert(run);
     }
     exchange->begin_events();
     readers_.add(run, exchange);
@@ -148,12 +149,12 @@
                            http_exchange_ptr const& exchange)
 {
     exchange->begin_events();
-    readers_.repeat(*exchange, run, from, delivered_[run.number]);
+    readers_.resend(*exchange, run, from, delivered_[run.number]);
     if (run.state == run_state::cancelled)
     {
         exchange->cut();
     }
-    else if (ended_.count(run.number) != 0)
+    else if (ended_at_.count(run.number) != 0)
     {
         stream_readers::send_done(*exchange, run);
     }
@@ -165,19 +166,19 @@
 
 void engine::cancel_stream(engine_run const& run, http_exchange_ptr const& exchange)
 {
-    if (!cancel_loses_)
+    if (!ignore_cancels_)
     {
         model_.cancel(run.generation);
     }
     if (run.state == run_state::cancelled)
     {
-        ended_.emplace(run.number, clock::now());
+        ended_at_.emplace(run.number, clock::now());
         readers_.cut(run.number);
     }
     exchange->answer(200, json::serialize(json::object{{"ran", run.generated}}));
 }
 
-void engine::take_order(http_request const& request, http_exchange_ptr const& exchange)
+void engine::handle_order(http_request const& request, http_exchange_ptr const& exchange)
 {
     if (request.method == "GET")
     {
@@ -191,16 +192,16 @@
         return;
     }
     bool const taken =
-        orders_.take({number_of<std::uint64_t>(wanted, "fence"), text_of(wanted, "role"),
-                      text_of(wanted, "version"), text_of(wanted, "adapter")},
-                     clock::now());
+        orders_.apply({number_member<std::uint64_t>(wanted, "fence"), string_member(wanted, "role"),
+                       string_member(wanted, "version"), string_member(wanted, "adapter")},
+                      clock::now());
     exchange->answer(taken ? 200 : 409, orders_.text());
 }
 
-bool engine::forgotten(engine_run const& run) const
+bool engine::is_retention_expired(engine_run const& run) const
 {
-    auto const end = ended_.find(run.number);
-    return end != ended_.end() && clock::now() - end->second > wire_.retain_finished;
+    auto const end = ended_at_.find(run.number);
+    return end != ended_at_.end() && clock::now() - end->second > wire_.retain_finished;
 }
 
 // -- calls of tests ------------------------------------------------------------------------------
@@ -218,7 +219,7 @@
                          {"generated", run.generated},
                          {"length", run.length},
                          {"preemptions", run.preemptions},
-                         {"started_while_leaving", started_leaving_.count(run.number) != 0}});
+                         {"started_while_leaving", started_while_leaving_.count(run.number) != 0}});
     }
     return json::serialize(json::object{{"runs", std::move(runs)}, {"orders", orders_.record()}});
 }
@@ -231,8 +232,8 @@
     json::object const wanted = parse_object(request.body);
     if (auto const* tokens = wanted.if_contains("tokens"))
     {
-        readers_.inject(fault_named(text_of(tokens->as_object(), "fault")),
-                        number_of<std::uint32_t>(tokens->as_object(), "count"));
+        readers_.inject(parse_fault(string_member(tokens->as_object(), "fault")),
+                        number_member<std::uint32_t>(tokens->as_object(), "count"));
     }
     if (wanted.contains("silence"))
     {
@@ -242,19 +243,19 @@
     {
         readers_.cut_all();
     }
-    silent_ = flag_of(wanted, "silent", silent_);
-    refuse_ = flag_of(wanted, "refuse", refuse_);
-    cancel_loses_ = flag_of(wanted, "cancel_loses", cancel_loses_);
-    slow_ = number_of<double>(wanted, "slow", slow_);
+    silent_ = bool_member(wanted, "silent", silent_);
+    refuse_ = bool_member(wanted, "refuse", refuse_);
+    ignore_cancels_ = bool_member(wanted, "cancel_loses", ignore_cancels_);
+    slowdown_ = number_member<double>(wanted, "slow", slowdown_);
     if (wanted.contains("leaving_ms"))
     {
         leaving_since_ =
-            clock::now() + std::chrono::milliseconds{number_of<int>(wanted, "leaving_ms")};
+            clock::now() + std::chrono::milliseconds{number_member<int>(wanted, "leaving_ms")};
     }
     if (wanted.contains("reclaim_ms"))
     {
         auto timer = std::make_shared<boost::asio::steady_timer>(
-            io_, std::chrono::milliseconds{number_of<int>(wanted, "reclaim_ms")});
+            io_, std::chrono::milliseconds{number_member<int>(wanted, "reclaim_ms")});
         timer->async_wait([timer](boost::system::error_code) { std::_Exit(EXIT_FAILURE); });
     }
     if (wanted.contains("die"))
@@ -268,21 +269,21 @@
 
 void engine::step()
 {
-    if (stepping_ || model_.idle())
+    if (step_pending_ || model_.idle())
     {
         return;
     }
     engine_step done = model_.step();
     reports_.add_cache_events(model_.cache().take_events(), clock::now());
-    stepping_ = true;
+    step_pending_ = true;
     step_timer_.expires_after(
-        std::chrono::duration_cast<std::chrono::microseconds>(done.took * slow_));
+        std::chrono::duration_cast<std::chrono::microseconds>(done.duration * slowdown_));
     step_timer_.async_wait(
         [this, done = std::move(done)](boost::system::error_code failed)
         {
             if (!failed)
             {
-                stepping_ = false;
+                step_pending_ = false;
                 deliver(done);
                 step();
             }
@@ -300,41 +301,41 @@
         }
         if (output.done)
         {
-            ended_.emplace(run.number, clock::now());
-            readers_.done(run);
+            ended_at_.emplace(run.number, clock::now());
+            readers_.finish_run(run);
         }
         else
         {
             delivered_[run.number] = output.index + 1;
-            readers_.token(run, output.index);
+            readers_.broadcast_token(run, output.index);
         }
     }
 }
 
-void engine::report_load()
+void engine::sample_load()
 {
     reports_.add_load(model_.load(), clock::now());
-    load_timer_.expires_after(wire_.load_period);
+    load_timer_.expires_after(wire_.load_sample_interval);
     load_timer_.async_wait(
         [this](boost::system::error_code failed)
         {
             if (!failed)
             {
-                report_load();
+                sample_load();
             }
         });
 }
 
-void engine::beat()
+void engine::send_heartbeats()
 {
-    readers_.beat();
-    beat_timer_.expires_after(wire_.beat);
-    beat_timer_.async_wait(
+    readers_.send_heartbeats();
+    heartbeat_timer_.expires_after(wire_.heartbeat_interval);
+    heartbeat_timer_.async_wait(
         [this](boost::system::error_code failed)
         {
             if (!failed)
             {
-                beat();
+                send_heartbeats();
             }
         });
 }
--- a/standins/engine.hpp
+++ b/standins/engine.hpp
@@ -25,9 +25,9 @@
 struct engine_wire_settings
 {
     report_settings reports;
-    std::chrono::milliseconds load_period{50};
+    std::chrono::milliseconds load_sample_interval{50};
     std::chrono::milliseconds retain_finished{60'000};
-    std::chrono::milliseconds beat{1'000};
+    std::chrono::milliseconds heartbeat_interval{1'000};
     std::chrono::milliseconds load_weights{0};
     bool fences_orders = true;
     std::uint64_t incarnation_number =
@@ -53,7 +53,7 @@
     void resume_stream(engine_run const& run, std::uint32_t from,
                        http_exchange_ptr const& exchange);
     void cancel_stream(engine_run const& run, http_exchange_ptr const& exchange);
-    void take_order(http_request const& request, http_exchange_ptr const& exchange);
+    void handle_order(http_request const& request, http_exchange_ptr const& exchange);
 
     // -- calls of tests --------------------------------------------------------------------------
     void control(http_request const& request, http_exchange_ptr const& exchange);
@@ -62,9 +62,9 @@
     // -- time ------------------------------------------------------------------------------------
     void step();
     void deliver(engine_step const& done);
-    void report_load();
-    void beat();
-    [[nodiscard]] bool forgotten(engine_run const& run) const;
+    void sample_load();
+    void send_heartbeats();
+    [[nodiscard]] bool is_retention_expired(engine_run const& run) const;
 
     boost::asio::io_context& io_;
     engine_settings settings_;
@@ -74,17 +74,17 @@
     engine_orders orders_;
     engine_reports reports_;
     std::vector<std::uint32_t> delivered_; ///< By run; a step's tokens come at its end.
-    std::unordered_map<std::uint32_t, clock::time_point> ended_; ///< When a run ended.
-    std::unordered_set<std::uint32_t> started_leaving_;          ///< Runs started after the notice.
+    std::unordered_map<std::uint32_t, clock::time_point> ended_at_; ///< When a run ended.
+    std::unordered_set<std::uint32_t> started_while_leaving_; ///< Runs started after the notice.
     boost::asio::steady_timer step_timer_;
     boost::asio::steady_timer load_timer_;
-    boost::asio::steady_timer beat_timer_;
+    boost::asio::steady_timer heartbeat_timer_;
     clock::time_point leaving_since_ = clock::time_point::max();
-    double slow_ = 1.0;
-    bool stepping_ = false;
+    double slowdown_ = 1.0;
+    bool step_pending_ = false;
     bool silent_ = false;
     bool refuse_ = false;
-    bool cancel_loses_ = false;
+    bool ignore_cancels_ = false;
 };
 
 } // namespace plumdale::standins
--- a/standins/engine_command.cpp
+++ b/standins/engine_command.cpp
@@ -47,7 +47,7 @@
     settings.max_batch = batch.getValue();
     settings.cache_blocks = std::min(cache.getValue(), blocks.getValue() / 4);
     settings.step = from_milliseconds(token.getValue());
-    settings.step_each = from_milliseconds(each.getValue());
+    settings.step_per_sequence = from_milliseconds(each.getValue());
     engine_wire_settings wire;
     wire.reports.load_lag = std::chrono::milliseconds{lag.getValue()};
     wire.reports.cache_lag = std::chrono::milliseconds{cache_lag.getValue()};
--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -16,9 +16,9 @@
 constexpr std::string_view length_marker = "[tokens=";
 constexpr std::uint32_t bytes_per_token = 4;
 constexpr std::uint32_t block_bytes = 64;
-constexpr double longest_answer = 20'000.0;
+constexpr double max_answer_tokens = 20'000.0;
 
-std::uint32_t marked_length(std::string_view prompt)
+std::uint32_t requested_length(std::string_view prompt)
 {
     std::size_t const at = prompt.find(length_marker);
     if (at == std::string_view::npos)
@@ -36,13 +36,13 @@
 // Log-normal, with a mean near 2,000 tokens for a draft and 65 for anything else.
 std::uint32_t answer_length(stream_request const& request)
 {
-    std::uint32_t length = marked_length(request.prompt);
+    std::uint32_t length = requested_length(request.prompt);
     if (length == 0)
     {
         std::mt19937_64 random{state::stable_hash(request.prompt)};
         bool const draft = request.kind == "draft";
         std::lognormal_distribution<double> lengths{draft ? 7.3 : 4.0, draft ? 0.8 : 0.6};
-        length = static_cast<std::uint32_t>(std::clamp(lengths(random), 1.0, longest_answer));
+        length = static_cast<std::uint32_t>(std::clamp(lengths(random), 1.0, max_answer_tokens));
     }
     return request.max_tokens == 0 ? length : std::min(length, request.max_tokens);
 }
@@ -63,7 +63,7 @@
     run.prompt_tokens = static_cast<std::uint32_t>(request.prompt.size()) / bytes_per_token + 1;
     run.length = answer_length(request);
     run.prefix = prefix_hashes(request.prompt);
-    newest_[run.generation] = run.number;
+    latest_run_[run.generation] = run.number;
     runs_.push_back(std::move(run));
     enqueue(runs_.back().number);
     return runs_.back().number;
@@ -71,8 +71,8 @@
 
 engine_run const* engine_model::cancel(std::string_view generation)
 {
-    auto const found = newest_.find(std::string{generation});
-    if (found == newest_.end())
+    auto const found = latest_run_.find(std::string{generation});
+    if (found == latest_run_.end())
     {
         return nullptr;
     }
@@ -81,7 +81,7 @@
     {
         waiting_.erase(std::remove(waiting_.begin(), waiting_.end(), run.number), waiting_.end());
         running_.erase(std::remove(running_.begin(), running_.end(), run.number), running_.end());
-        release(run);
+        release_blocks(run);
         run.state = run_state::cancelled;
     }
     return &run;
@@ -95,7 +95,7 @@
     for (std::uint32_t const number : batch)
     {
         engine_run& run = runs_[number];
-        if (run.state != run_state::running || !grow(number))
+        if (run.state != run_state::running || !reserve_next_token(number))
         {
             continue;
         }
@@ -104,7 +104,7 @@
         if (run.generated >= run.length)
         {
             running_.erase(std::find(running_.begin(), running_.end(), number));
-            release(run);
+            release_blocks(run);
             run.state = run_state::finished;
             cache_.store(run.prefix, settings_.blocks_total - blocks_used_ - cache_.size());
             done.outputs.push_back({number, run.generated, true});
@@ -112,8 +112,8 @@
     }
     if (!batch.empty())
     {
-        done.took = settings_.step + settings_.step_each * batch.size() +
-                    settings_.prefill_each * prefilled;
+        done.duration = settings_.step + settings_.step_per_sequence * batch.size() +
+                        settings_.prefill_per_token * prefilled;
     }
     return done;
 }
@@ -128,7 +128,7 @@
         engine_run& run = runs_[waiting_.front()];
         std::uint32_t const tokens = run.prompt_tokens + run.generated;
         std::uint32_t const needed = blocks_for(tokens + 1);
-        if (!take_blocks(needed))
+        if (!allocate_blocks(needed))
         {
             break;
         }
@@ -142,13 +142,13 @@
     return prefilled;
 }
 
-bool engine_model::grow(std::uint32_t number)
+bool engine_model::reserve_next_token(std::uint32_t number)
 {
     std::uint32_t const needed =
         blocks_for(runs_[number].prompt_tokens + runs_[number].generated + 1);
     while (runs_[number].blocks < needed)
     {
-        if (take_blocks(1))
+        if (allocate_blocks(1))
         {
             ++runs_[number].blocks;
             continue;
@@ -172,7 +172,7 @@
 void engine_model::preempt(std::uint32_t number)
 {
     running_.erase(std::find(running_.begin(), running_.end(), number));
-    release(runs_[number]);
+    release_blocks(runs_[number]);
     runs_[number].state = run_state::waiting;
     ++runs_[number].preemptions;
     ++preemptions_;
@@ -189,7 +189,7 @@
     waiting_.insert(place, number);
 }
 
-bool engine_model::take_blocks(std::uint32_t count)
+bool engine_model::allocate_blocks(std::uint32_t count)
 {
     std::uint32_t const free = settings_.blocks_total - blocks_used_ - cache_.size();
     if (free < count && free + cache_.evict(count - free) < count)
@@ -200,7 +200,7 @@
     return true;
 }
 
-void engine_model::release(engine_run& run)
+void engine_model::release_blocks(engine_run& run)
 {
     blocks_used_ -= run.blocks;
     run.blocks = 0;
@@ -218,8 +218,8 @@
 
 engine_run const* engine_model::find(std::string_view generation) const
 {
-    auto const found = newest_.find(std::string{generation});
-    return found == newest_.end() ? nullptr : &runs_[found->second];
+    auto const found = latest_run_.find(std::string{generation});
+    return found == latest_run_.end() ? nullptr : &runs_[found->second];
 }
 
 std::vector<engine_run> const& engine_model::runs() const noexcept
--- a/standins/engine_model.hpp
+++ b/standins/engine_model.hpp
@@ -24,10 +24,10 @@
     std::uint32_t blocks_total = 2'000;
     std::uint32_t block_tokens = 16;
     std::uint32_t max_batch = 48;
-    /// \brief A step takes `step + running * step_each + prefilled * prefill_each`.
+    /// \brief A step takes `step + running * step_per_sequence + prefilled * prefill_per_token`.
     std::chrono::microseconds step{5'000};
-    std::chrono::microseconds step_each{100};
-    std::chrono::microseconds prefill_each{20};
+    std::chrono::microseconds step_per_sequence{100};
+    std::chrono::microseconds prefill_per_token{20};
     std::uint32_t cache_blocks = 500;
 };
 
@@ -77,7 +77,7 @@
 
 struct engine_step
 {
-    std::chrono::microseconds took{0};
+    std::chrono::microseconds duration{0};
     std::vector<step_output> outputs;
 };
 
@@ -115,17 +115,17 @@
 
 private:
     [[nodiscard]] std::uint32_t blocks_for(std::uint32_t tokens) const noexcept;
-    bool take_blocks(std::uint32_t count);
+    bool allocate_blocks(std::uint32_t count);
     std::uint32_t admit();
-    bool grow(std::uint32_t number);
+    bool reserve_next_token(std::uint32_t number);
     void preempt(std::uint32_t number);
-    void release(engine_run& run);
+    void release_blocks(engine_run& run);
     void enqueue(std::uint32_t number);
 
     engine_settings settings_;
     prefix_cache cache_;
     std::vector<engine_run> runs_;
-    std::unordered_map<std::string, std::uint32_t> newest_;
+    std::unordered_map<std::string, std::uint32_t> latest_run_;
     std::deque<std::uint32_t> waiting_;
     std::vector<std::uint32_t> running_;
     std::uint32_t blocks_used_ = 0;
--- a/standins/engine_orders.cpp
+++ b/standins/engine_orders.cpp
@@ -17,18 +17,18 @@
 
 } // namespace
 
-bool engine_orders::take(engine_order const& order, time_point now)
+bool engine_orders::apply(engine_order const& order, time_point now)
 {
-    if (fences_ && order.fence < in_force_.fence)
+    if (checks_fence_ && order.fence < in_force_.fence)
     {
         return false;
     }
     if (order.version != in_force_.version || order.adapter != in_force_.adapter)
     {
-        loaded_ = now + load_;
+        loaded_at_ = now + load_time_;
     }
     in_force_ = order;
-    taken_.push_back(order);
+    accepted_.push_back(order);
     return true;
 }
 
@@ -37,7 +37,7 @@
     std::string const& role = in_force_.role;
     bool const fits = role != "idle" && !(role == "questions" && kind == "draft") &&
                       !(role == "drafts" && kind == "question");
-    return fits && now >= loaded_;
+    return fits && now >= loaded_at_;
 }
 
 std::string engine_orders::text() const
@@ -48,7 +48,7 @@
 boost::json::array engine_orders::record() const
 {
     boost::json::array all;
-    for (engine_order const& order : taken_)
+    for (engine_order const& order : accepted_)
     {
         all.push_back(to_json(order));
     }
--- a/standins/engine_orders.hpp
+++ b/standins/engine_orders.hpp
@@ -28,21 +28,24 @@
     using time_point = std::chrono::steady_clock::time_point;
 
     /// \brief Loading another version or adapter takes `load` each time.
-    engine_orders(bool fences, std::chrono::milliseconds load) : fences_{fences}, load_{load} {}
+    engine_orders(bool fences, std::chrono::milliseconds load)
+        : checks_fence_{fences}, load_time_{load}
+    {
+    }
 
     /// \brief Returns false, and changes nothing, when the fence is old and is checked.
-    bool take(engine_order const& order, time_point now);
+    bool apply(engine_order const& order, time_point now);
     /// \brief Returns whether new work of this kind is taken now.
     [[nodiscard]] bool serves(std::string const& kind, time_point now) const;
     [[nodiscard]] std::string text() const;
     [[nodiscard]] boost::json::array record() const;
 
 private:
-    bool fences_;
-    std::chrono::milliseconds load_;
+    bool checks_fence_;
+    std::chrono::milliseconds load_time_;
     engine_order in_force_;
-    std::vector<engine_order> taken_;
-    time_point loaded_{};
+    std::vector<engine_order> accepted_;
+    time_point loaded_at_{};
 };
 
 } // namespace plumdale::standins
--- a/standins/engine_reports.cpp
+++ b/standins/engine_reports.cpp
@@ -13,8 +13,8 @@
 namespace json = boost::json;
 using namespace std::chrono_literals;
 
-constexpr std::size_t most_loads = 100;
-constexpr std::size_t most_events = 10'000;
+constexpr std::size_t max_load_samples = 100;
+constexpr std::size_t max_cache_events = 10'000;
 
 std::string hex(std::uint64_t value)
 {
@@ -26,14 +26,14 @@
 } // namespace
 
 engine_reports::engine_reports(report_settings settings, std::uint64_t incarnation_number)
-    : settings_{settings}, uptime_{incarnation_number}, random_{settings.seed}
+    : settings_{settings}, incarnation_number_{incarnation_number}, random_{settings.seed}
 {
 }
 
 void engine_reports::add_load(engine_load const& load, clock::time_point now)
 {
     loads_.push_back({now, ++load_sequence_, load});
-    if (loads_.size() > most_loads)
+    if (loads_.size() > max_load_samples)
     {
         loads_.pop_front();
     }
@@ -50,7 +50,7 @@
             events_.push_back({now + settings_.cache_lag, cache_sequence_, event});
         }
     }
-    while (events_.size() > most_events)
+    while (events_.size() > max_cache_events)
     {
         events_.pop_front();
     }
@@ -58,18 +58,18 @@
 
 std::string engine_reports::load_text(clock::time_point now) const
 {
-    taken_load const* seen = &loads_.front();
-    for (taken_load const& taken : loads_)
+    load_sample const* visible = &loads_.front();
+    for (load_sample const& sample : loads_)
     {
-        if (now - taken.taken >= settings_.load_lag)
+        if (now - sample.taken_at >= settings_.load_lag)
         {
-            seen = &taken;
+            visible = &sample;
         }
     }
-    engine_load const& load = seen->load;
-    return json::serialize(json::object{{"sequence", seen->sequence},
-                                        {"age_ms", (now - seen->taken) / 1ms},
-                                        {"uptime", uptime_},
+    engine_load const& load = visible->load;
+    return json::serialize(json::object{{"sequence", visible->sequence},
+                                        {"age_ms", (now - visible->taken_at) / 1ms},
+                                        {"uptime", incarnation_number_},
                                         {"blocks_total", load.blocks_total},
                                         {"blocks_used", load.blocks_used},
                                         {"block_tokens", settings_.block_tokens},
@@ -82,14 +82,14 @@
 {
     std::uint64_t next = after;
     json::array events;
-    for (late_event const& late : events_)
+    for (delayed_event const& delayed : events_)
     {
-        if (late.sequence > after && late.due <= now)
+        if (delayed.sequence > after && delayed.visible_at <= now)
         {
-            next = late.sequence;
-            events.push_back(json::object{{"sequence", late.sequence},
-                                          {"kind", late.event.stored ? "stored" : "evicted"},
-                                          {"prefix", hex(late.event.prefix)}});
+            next = delayed.sequence;
+            events.push_back(json::object{{"sequence", delayed.sequence},
+                                          {"kind", delayed.event.stored ? "stored" : "evicted"},
+                                          {"prefix", hex(delayed.event.prefix)}});
         }
     }
     return json::serialize(json::object{{"events", std::move(events)}, {"next", next}});
--- a/standins/engine_reports.hpp
+++ b/standins/engine_reports.hpp
@@ -41,23 +41,23 @@
     [[nodiscard]] std::string cache_text(std::uint64_t after, clock::time_point now) const;
 
 private:
-    struct taken_load
+    struct load_sample
     {
-        clock::time_point taken;
+        clock::time_point taken_at;
         std::uint64_t sequence = 0;
         engine_load load;
     };
-    struct late_event
+    struct delayed_event
     {
-        clock::time_point due;
+        clock::time_point visible_at;
         std::uint64_t sequence = 0;
         cache_event event;
     };
 
     report_settings settings_;
-    std::uint64_t uptime_;
-    std::deque<taken_load> loads_;
-    std::deque<late_event> events_;
+    std::uint64_t incarnation_number_;
+    std::deque<load_sample> loads_;
+    std::deque<delayed_event> events_;
     std::mt19937_64 random_;
     std::uint64_t load_sequence_ = 0;
     std::uint64_t cache_sequence_ = 0;
--- a/standins/http_server.cpp
+++ b/standins/http_server.cpp
@@ -87,7 +87,7 @@
     void send(std::string text) override;
     void finish() override;
     void cut() override;
-    [[nodiscard]] bool gone() const noexcept override;
+    [[nodiscard]] bool is_closed() const noexcept override;
 
 private:
     std::shared_ptr<session> owner_;
@@ -115,7 +115,7 @@
 
     void write(std::string text, bool last)
     {
-        if (gone_)
+        if (closed_)
         {
             return;
         }
@@ -129,14 +129,14 @@
 
     void close()
     {
-        gone_ = true;
+        closed_ = true;
         error_code ignored;
         socket_.close(ignored);
     }
 
-    [[nodiscard]] bool gone() const noexcept
+    [[nodiscard]] bool is_closed() const noexcept
     {
-        return gone_;
+        return closed_;
     }
 
 private:
@@ -149,24 +149,24 @@
             return;
         }
         http_request const request = decode(parser_->release());
-        watch_for_end();
+        watch_for_close();
         handler_(request, std::make_shared<session_exchange>(shared_from_this()));
     }
 
     // A caller that leaves in the middle of an answer is seen only by reading.
-    void watch_for_end()
+    void watch_for_close()
     {
         socket_.async_wait(tcp::socket::wait_read,
                            [self = shared_from_this()](error_code failed)
                            {
                                if (!failed && !self->reading_body_)
                                {
-                                   self->look_for_end();
+                                   self->check_for_close();
                                }
                            });
     }
 
-    void look_for_end()
+    void check_for_close()
     {
         error_code failed;
         std::array<char, 1> peeked{};
@@ -216,7 +216,7 @@
     std::deque<std::string> queue_;
     bool writing_ = false;
     bool last_queued_ = false;
-    bool gone_ = false;
+    bool closed_ = false;
     bool reading_body_ = false;
 };
 
@@ -263,9 +263,9 @@
     owner_->close();
 }
 
-bool session_exchange::gone() const noexcept
+bool session_exchange::is_closed() const noexcept
 {
-    return owner_->gone();
+    return owner_->is_closed();
 }
 
 } // namespace
--- a/standins/http_server.hpp
+++ b/standins/http_server.hpp
@@ -57,7 +57,7 @@
     /// \brief Closes the connection at once.
     virtual void cut() = 0;
     /// \brief Returns whether the other side has closed.
-    [[nodiscard]] virtual bool gone() const noexcept = 0;
+    [[nodiscard]] virtual bool is_closed() const noexcept = 0;
 };
 
 using http_exchange_ptr = std::shared_ptr<http_exchange>;
--- a/standins/json_members.hpp
+++ b/standins/json_members.hpp
@@ -11,25 +11,26 @@
 namespace plumdale::standins
 {
 
-[[nodiscard]] inline std::string text_of(boost::json::object const& from, std::string_view name)
+[[nodiscard]] inline std::string string_member(boost::json::object const& from,
+                                               std::string_view name)
 {
     auto const* value = from.if_contains(name);
     return value != nullptr && value->is_string() ? std::string{value->as_string()} : std::string{};
 }
 
 template <class Number>
-[[nodiscard]] Number number_of(boost::json::object const& from, std::string_view name,
-                               Number otherwise = {})
+[[nodiscard]] Number number_member(boost::json::object const& from, std::string_view name,
+                                   Number default_value = {})
 {
     auto const* value = from.if_contains(name);
-    return value != nullptr && value->is_number() ? value->to_number<Number>() : otherwise;
+    return value != nullptr && value->is_number() ? value->to_number<Number>() : default_value;
 }
 
-[[nodiscard]] inline bool flag_of(boost::json::object const& from, std::string_view name,
-                                  bool otherwise)
+[[nodiscard]] inline bool bool_member(boost::json::object const& from, std::string_view name,
+                                      bool default_value)
 {
     auto const* value = from.if_contains(name);
-    return value != nullptr && value->is_bool() ? value->as_bool() : otherwise;
+    return value != nullptr && value->is_bool() ? value->as_bool() : default_value;
 }
 
 /// \brief Parses an object; an empty one when the text is none.
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -23,38 +23,38 @@
 constexpr std::string_view weights_path = "/v1/weights/";
 
 /// One published value with the revision that set it.
-struct entry
+struct config_entry
 {
     std::uint64_t revision = 0;
     json::value value;
 };
 
-using entries = std::map<std::string, entry, std::less<>>;
+using config_entries = std::map<std::string, config_entry, std::less<>>;
 
 /// A counter that allows `rate` calls in each second.
-class call_limit
+class call_rate_limiter
 {
 public:
-    explicit call_limit(std::uint64_t rate) : rate_{rate} {}
+    explicit call_rate_limiter(std::uint64_t rate) : rate_{rate} {}
 
-    [[nodiscard]] bool take(clock::time_point now)
+    [[nodiscard]] bool try_acquire(clock::time_point now)
     {
-        if (now - since_ >= std::chrono::seconds{1})
+        if (now - window_start_ >= std::chrono::seconds{1})
         {
-            since_ = now;
-            used_ = 0;
+            window_start_ = now;
+            calls_in_window_ = 0;
         }
-        return ++used_ <= rate_;
+        return ++calls_in_window_ <= rate_;
     }
 
 private:
     std::uint64_t rate_;
-    std::uint64_t used_ = 0;
-    clock::time_point since_{};
+    std::uint64_t calls_in_window_ = 0;
+    clock::time_point window_start_{};
 };
 
 /// A watch that waits for a change; without an exchange once it was answered.
-struct waiting_watch
+struct pending_watch
 {
     std::uint64_t after = 0;
     http_exchange_ptr exchange;
@@ -81,10 +81,10 @@
         }
         if (auto const* list = wanted.if_contains("vms"))
         {
-            change_list(list->as_object());
+            update_vm_list(list->as_object());
         }
         apply_modes(wanted);
-        wake_watches();
+        notify_watches();
     }
 
     void handle(http_request const& request, http_exchange_ptr const& exchange)
@@ -106,7 +106,7 @@
             exchange->cut();
             return;
         }
-        if (!limit_.take(clock::now()))
+        if (!limit_.try_acquire(clock::now()))
         {
             exchange->answer(429, R"({"error":"call limit"})");
             return;
@@ -120,7 +120,7 @@
         std::string_view const path = request.path;
         if (path == "/v1/vms")
         {
-            exchange->answer(200, json::serialize(listed_));
+            exchange->answer(200, json::serialize(vm_list_));
         }
         else if (path == "/v1/config")
         {
@@ -132,7 +132,7 @@
         }
         else if (path.substr(0, weights_path.size()) == weights_path)
         {
-            bool const allowed = weights_.take(clock::now());
+            bool const allowed = weight_limit_.try_acquire(clock::now());
             exchange->answer(allowed ? 200 : 429, "{}");
         }
         else
@@ -149,18 +149,18 @@
             values_.erase(key);
             return;
         }
-        values_[std::move(key)] = entry{revision_, value};
+        values_[std::move(key)] = config_entry{revision_, value};
     }
 
-    void change_list(json::object const& list)
+    void update_vm_list(json::object const& list)
     {
-        if (lag_.count() == 0)
+        if (vm_list_lag_.count() == 0)
         {
-            listed_ = list;
+            vm_list_ = list;
             return;
         }
-        auto timer = std::make_shared<boost::asio::steady_timer>(io_, lag_);
-        timer->async_wait([this, timer, list](boost::system::error_code) { listed_ = list; });
+        auto timer = std::make_shared<boost::asio::steady_timer>(io_, vm_list_lag_);
+        timer->async_wait([this, timer, list](boost::system::error_code) { vm_list_ = list; });
     }
 
     void apply_modes(json::object const& wanted)
@@ -175,19 +175,19 @@
         }
         if (auto const* value = wanted.if_contains("vms_lag_ms"))
         {
-            lag_ = std::chrono::milliseconds{value->to_number<int>()};
+            vm_list_lag_ = std::chrono::milliseconds{value->to_number<int>()};
         }
         if (auto const* value = wanted.if_contains("call_limit"))
         {
-            limit_ = call_limit{value->to_number<std::uint64_t>()};
+            limit_ = call_rate_limiter{value->to_number<std::uint64_t>()};
         }
         if (auto const* value = wanted.if_contains("weights_per_second"))
         {
-            weights_ = call_limit{value->to_number<std::uint64_t>()};
+            weight_limit_ = call_rate_limiter{value->to_number<std::uint64_t>()};
         }
         if (down_)
         {
-            cut_watches();
+            abort_watches();
         }
     }
 
@@ -202,20 +202,20 @@
         stale_ = stale;
     }
 
-    [[nodiscard]] entries const& seen() const
+    [[nodiscard]] config_entries const& visible_values() const
     {
         return stale_ ? frozen_values_ : values_;
     }
 
-    [[nodiscard]] std::uint64_t seen_revision() const
+    [[nodiscard]] std::uint64_t visible_revision() const
     {
         return stale_ ? frozen_revision_ : revision_;
     }
 
     void read_key(std::string_view key, http_exchange_ptr const& exchange)
     {
-        auto const found = seen().find(key);
-        if (found == seen().end())
+        auto const found = visible_values().find(key);
+        if (found == visible_values().end())
         {
             exchange->answer(404, R"({"error":"no such key"})");
             return;
@@ -229,13 +229,13 @@
     {
         std::uint64_t const after = request.number("after").value_or(0);
         std::uint64_t const wait = request.number("wait_ms").value_or(0);
-        if (seen_revision() > after || wait == 0)
+        if (visible_revision() > after || wait == 0)
         {
             exchange->answer(200, changes_text(after));
             return;
         }
-        auto const watch = std::make_shared<waiting_watch>(
-            waiting_watch{after, exchange, boost::asio::steady_timer{io_}});
+        auto const watch = std::make_shared<pending_watch>(
+            pending_watch{after, exchange, boost::asio::steady_timer{io_}});
         watches_.push_back(watch);
         watch->timer.expires_after(std::chrono::milliseconds{wait});
         watch->timer.async_wait(
@@ -252,7 +252,7 @@
     [[nodiscard]] std::string changes_text(std::uint64_t after) const
     {
         json::array changed;
-        for (auto const& [key, held] : seen())
+        for (auto const& [key, held] : visible_values())
         {
             if (held.revision > after)
             {
@@ -260,14 +260,15 @@
                     json::object{{"key", key}, {"revision", held.revision}, {"value", held.value}});
             }
         }
-        return json::serialize(json::object{{"revision", seen_revision()}, {"entries", changed}});
+        return json::serialize(
+            json::object{{"revision", visible_revision()}, {"entries", changed}});
     }
 
-    void wake_watches()
+    void notify_watches()
     {
         for (auto const& watch : watches_)
         {
-            if (seen_revision() > watch->after && watch->exchange)
+            if (visible_revision() > watch->after && watch->exchange)
             {
                 watch->exchange->answer(200, changes_text(watch->after));
                 watch->exchange = nullptr;
@@ -276,7 +277,7 @@
         }
     }
 
-    void cut_watches()
+    void abort_watches()
     {
         for (auto const& watch : watches_)
         {
@@ -286,15 +287,15 @@
     }
 
     boost::asio::io_context& io_;
-    entries values_;
-    entries frozen_values_;
+    config_entries values_;
+    config_entries frozen_values_;
     std::uint64_t revision_ = 0;
     std::uint64_t frozen_revision_ = 0;
-    json::object listed_{{"upstreams", json::array{}}, {"entry_vms", json::array{}}};
-    std::list<std::shared_ptr<waiting_watch>> watches_;
-    std::chrono::milliseconds lag_{0};
-    call_limit limit_{2000};
-    call_limit weights_{1};
+    json::object vm_list_{{"upstreams", json::array{}}, {"entry_vms", json::array{}}};
+    std::list<std::shared_ptr<pending_watch>> watches_;
+    std::chrono::milliseconds vm_list_lag_{0};
+    call_rate_limiter limit_{2000};
+    call_rate_limiter weight_limit_{1};
     std::uint64_t calls_ = 0;
     bool down_ = false;
     bool stale_ = false;
--- a/standins/prefix_cache.cpp
+++ b/standins/prefix_cache.cpp
@@ -26,12 +26,12 @@
     std::uint32_t count = 0;
     for (std::uint64_t const hash : prefix)
     {
-        auto const found = places_.find(hash);
-        if (found == places_.end())
+        auto const found = positions_.find(hash);
+        if (found == positions_.end())
         {
             break;
         }
-        order_.splice(order_.end(), order_, found->second);
+        lru_order_.splice(lru_order_.end(), lru_order_, found->second);
         ++count;
     }
     return count;
@@ -41,7 +41,7 @@
 {
     for (std::uint64_t const hash : prefix)
     {
-        if (places_.count(hash) != 0)
+        if (positions_.count(hash) != 0)
         {
             continue;
         }
@@ -54,7 +54,7 @@
             ++free_blocks;
         }
         --free_blocks;
-        places_[hash] = order_.insert(order_.end(), hash);
+        positions_[hash] = lru_order_.insert(lru_order_.end(), hash);
         events_.push_back({true, hash});
     }
 }
@@ -62,11 +62,11 @@
 std::uint32_t prefix_cache::evict(std::uint32_t count)
 {
     std::uint32_t done = 0;
-    while (done < count && !order_.empty())
+    while (done < count && !lru_order_.empty())
     {
-        events_.push_back({false, order_.front()});
-        places_.erase(order_.front());
-        order_.pop_front();
+        events_.push_back({false, lru_order_.front()});
+        positions_.erase(lru_order_.front());
+        lru_order_.pop_front();
         ++done;
     }
     return done;
@@ -74,7 +74,7 @@
 
 std::uint32_t prefix_cache::size() const noexcept
 {
-    return static_cast<std::uint32_t>(order_.size());
+    return static_cast<std::uint32_t>(lru_order_.size());
 }
 
 std::vector<cache_event> prefix_cache::take_events()
--- a/standins/prefix_cache.hpp
+++ b/standins/prefix_cache.hpp
@@ -40,8 +40,8 @@
 
 private:
     std::uint32_t capacity_;
-    std::list<std::uint64_t> order_; ///< Least recently used first.
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> places_;
+    std::list<std::uint64_t> lru_order_; ///< Least recently used first.
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> positions_;
     std::vector<cache_event> events_;
 };
 
--- a/standins/relay.cpp
+++ b/standins/relay.cpp
@@ -28,25 +28,28 @@
 };
 
 /// One connection through the relay, both ways.
-class relayed : public std::enable_shared_from_this<relayed>
+class relay_connection : public std::enable_shared_from_this<relay_connection>
 {
 public:
-    explicit relayed(tcp::socket near) : near_{std::move(near)}, far_{near_.get_executor()} {}
+    explicit relay_connection(tcp::socket client)
+        : client_{std::move(client)}, server_{client_.get_executor()}
+    {
+    }
 
     void start(tcp::endpoint const& to, relay_mode mode)
     {
         mode_ = mode;
-        far_.async_connect(to,
-                           [self = shared_from_this()](error_code failed)
-                           {
-                               if (failed)
-                               {
-                                   self->cut();
-                                   return;
-                               }
-                               self->forward(self->forth_);
-                               self->forward(self->back_);
-                           });
+        server_.async_connect(to,
+                              [self = shared_from_this()](error_code failed)
+                              {
+                                  if (failed)
+                                  {
+                                      self->cut();
+                                      return;
+                                  }
+                                  self->forward(self->to_server_);
+                                  self->forward(self->to_client_);
+                              });
     }
 
     void set_mode(relay_mode mode)
@@ -56,20 +59,20 @@
             return;
         }
         mode_ = mode;
-        resume(forth_);
-        resume(back_);
+        resume(to_server_);
+        resume(to_client_);
     }
 
     void cut()
     {
         error_code ignored;
-        near_.close(ignored);
-        far_.close(ignored);
+        client_.close(ignored);
+        server_.close(ignored);
     }
 
     [[nodiscard]] bool open() const
     {
-        return near_.is_open();
+        return client_.is_open();
     }
 
 private:
@@ -78,37 +81,38 @@
         tcp::socket* from;
         tcp::socket* to;
         std::array<char, 16'384> buffer{};
-        bool held = false;
+        bool paused = false;
     };
 
-    void resume(direction& way)
+    void resume(direction& flow)
     {
-        if (way.held && mode_ != relay_mode::stall)
+        if (flow.paused && mode_ != relay_mode::stall)
         {
-            way.held = false;
-            forward(way);
+            flow.paused = false;
+            forward(flow);
         }
     }
 
-    void forward(direction& way)
+    void forward(direction& flow)
     {
         if (mode_ == relay_mode::stall)
         {
-            way.held = true;
+            flow.paused = true;
             return;
         }
-        way.from->async_read_some(asio::buffer(way.buffer), [self = shared_from_this(), &way](
-                                                                error_code failed, std::size_t size)
-                                  { self->on_read(way, failed, size); });
+        flow.from->async_read_some(
+            asio::buffer(flow.buffer),
+            [self = shared_from_this(), &flow](error_code failed, std::size_t size)
+            { self->on_read(flow, failed, size); });
     }
 
-    void on_read(direction& way, error_code failed, std::size_t size)
+    void on_read(direction& flow, error_code failed, std::size_t size)
     {
         if (mode_ == relay_mode::swallow)
         {
             if (!failed)
             {
-                forward(way);
+                forward(flow);
             }
             return;
         }
@@ -117,22 +121,22 @@
             cut();
             return;
         }
-        asio::async_write(*way.to, asio::buffer(way.buffer.data(), size),
-                          [self = shared_from_this(), &way](error_code broken, std::size_t)
+        asio::async_write(*flow.to, asio::buffer(flow.buffer.data(), size),
+                          [self = shared_from_this(), &flow](error_code broken, std::size_t)
                           {
                               if (broken)
                               {
                                   self->cut();
                                   return;
                               }
-                              self->forward(way);
+                              self->forward(flow);
                           });
     }
 
-    tcp::socket near_;
-    tcp::socket far_;
-    direction forth_{&near_, &far_};
-    direction back_{&far_, &near_};
+    tcp::socket client_;
+    tcp::socket server_;
+    direction to_server_{&client_, &server_};
+    direction to_client_{&server_, &client_};
     relay_mode mode_ = relay_mode::pass;
 };
 
@@ -141,7 +145,7 @@
 {
 public:
     relay(asio::io_context& io, std::uint16_t port, tcp::endpoint to)
-        : acceptor_{io, {asio::ip::address_v4::loopback(), port}}, to_{std::move(to)}
+        : acceptor_{io, {asio::ip::address_v4::loopback(), port}}, target_{std::move(to)}
     {
         accept();
     }
@@ -157,9 +161,9 @@
     {
         json::object const wanted = json::parse(request.body).as_object();
         std::size_t open = 0;
-        for (auto const& held : connections_)
+        for (auto const& entry : connections_)
         {
-            if (auto const connection = held.lock(); connection && connection->open())
+            if (auto const connection = entry.lock(); connection && connection->open())
             {
                 ++open;
                 apply(wanted, *connection);
@@ -167,7 +171,7 @@
         }
         if (auto const* mode = wanted.if_contains("new"))
         {
-            mode_ = mode_named(mode->as_string());
+            mode_ = parse_mode(mode->as_string());
         }
         if (auto const* refuse = wanted.if_contains("refuse"))
         {
@@ -177,7 +181,7 @@
     }
 
 private:
-    static relay_mode mode_named(std::string_view name)
+    static relay_mode parse_mode(std::string_view name)
     {
         if (name == "stall")
         {
@@ -186,11 +190,11 @@
         return name == "swallow" ? relay_mode::swallow : relay_mode::pass;
     }
 
-    static void apply(json::object const& wanted, relayed& connection)
+    static void apply(json::object const& wanted, relay_connection& connection)
     {
         if (auto const* mode = wanted.if_contains("open"))
         {
-            connection.set_mode(mode_named(mode->as_string()));
+            connection.set_mode(parse_mode(mode->as_string()));
         }
         if (wanted.contains("cut"))
         {
@@ -209,17 +213,17 @@
                 }
                 if (!refuse_)
                 {
-                    auto connection = std::make_shared<relayed>(std::move(socket));
+                    auto connection = std::make_shared<relay_connection>(std::move(socket));
                     connections_.push_back(connection);
-                    connection->start(to_, mode_);
+                    connection->start(target_, mode_);
                 }
                 accept();
             });
     }
 
     tcp::acceptor acceptor_;
-    tcp::endpoint to_;
-    std::vector<std::weak_ptr<relayed>> connections_;
+    tcp::endpoint target_;
+    std::vector<std::weak_ptr<relay_connection>> connections_;
     relay_mode mode_ = relay_mode::pass;
     bool refuse_ = false;
 };
--- a/standins/stream_readers.cpp
+++ b/standins/stream_readers.cpp
@@ -15,7 +15,7 @@
 namespace json = boost::json;
 
 constexpr std::string_view foreign_identity = "g-1-1-1-1";
-constexpr std::uint32_t index_error = 3;
+constexpr std::uint32_t index_offset = 3;
 
 std::string token_event(std::string_view generation, std::uint32_t index, std::string_view text)
 {
@@ -30,7 +30,7 @@
 
 } // namespace
 
-token_fault fault_named(std::string_view name) noexcept
+token_fault parse_fault(std::string_view name) noexcept
 {
     constexpr std::array<std::string_view, 5> names{"none", "garbage", "wrong_index",
                                                     "wrong_identity", "duplicate"};
@@ -44,12 +44,12 @@
     by_run_[run].push_back(exchange);
 }
 
-void stream_readers::hold(http_exchange_ptr const& exchange)
+void stream_readers::hold_open(http_exchange_ptr const& exchange)
 {
-    held_.push_back(exchange);
+    silent_exchanges_.push_back(exchange);
 }
 
-void stream_readers::token(engine_run const& run, std::uint32_t index)
+void stream_readers::broadcast_token(engine_run const& run, std::uint32_t index)
 {
     auto const found = by_run_.find(run.number);
     if (found == by_run_.end())
@@ -57,18 +57,18 @@
         return;
     }
     auto& readers = found->second;
-    auto const gone = [](http_exchange_ptr const& exchange)
+    auto const is_closed = [](http_exchange_ptr const& exchange)
     {
-        return exchange->gone();
+        return exchange->is_closed();
     };
-    readers.erase(std::remove_if(readers.begin(), readers.end(), gone), readers.end());
+    readers.erase(std::remove_if(readers.begin(), readers.end(), is_closed), readers.end());
     for (http_exchange_ptr const& exchange : readers)
     {
         send_token(*exchange, run, index);
     }
 }
 
-void stream_readers::done(engine_run const& run)
+void stream_readers::finish_run(engine_run const& run)
 {
     auto const found = by_run_.find(run.number);
     if (found == by_run_.end())
@@ -82,7 +82,7 @@
     by_run_.erase(found);
 }
 
-void stream_readers::repeat(http_exchange& exchange, engine_run const& run, std::uint32_t from,
+void stream_readers::resend(http_exchange& exchange, engine_run const& run, std::uint32_t from,
                             std::uint32_t until)
 {
     for (std::uint32_t index = from; index < until; ++index)
@@ -99,7 +99,7 @@
     exchange.finish();
 }
 
-void stream_readers::beat()
+void stream_readers::send_heartbeats()
 {
     for (auto const& readers : by_run_)
     {
@@ -125,18 +125,19 @@
     {
         cut(by_run_.begin()->first);
     }
-    for (http_exchange_ptr const& exchange : held_)
+    for (http_exchange_ptr const& exchange : silent_exchanges_)
     {
         exchange->cut();
     }
-    held_.clear();
+    silent_exchanges_.clear();
 }
 
 void stream_readers::silence()
 {
     for (auto const& readers : by_run_)
     {
-        held_.insert(held_.end(), readers.second.begin(), readers.second.end());
+        silent_exchanges_.insert(silent_exchanges_.end(), readers.second.begin(),
+                                 readers.second.end());
     }
     by_run_.clear();
 }
@@ -168,7 +169,7 @@
         exchange.send("data: {\"generation\": [}\n\n");
         break;
     case token_fault::wrong_index:
-        exchange.send(token_event(run.generation, index + index_error, text));
+        exchange.send(token_event(run.generation, index + index_offset, text));
         break;
     case token_fault::wrong_identity:
         exchange.send(token_event(foreign_identity, index, text));
--- a/standins/stream_readers.hpp
+++ b/standins/stream_readers.hpp
@@ -25,7 +25,7 @@
 };
 
 /// \brief Returns the fault with this name, or none.
-[[nodiscard]] token_fault fault_named(std::string_view name) noexcept;
+[[nodiscard]] token_fault parse_fault(std::string_view name) noexcept;
 
 /// \brief The connections that wait for tokens, by run.
 class stream_readers
@@ -33,16 +33,16 @@
 public:
     void add(std::uint32_t run, http_exchange_ptr const& exchange);
     /// \brief Keeps a connection open and never sends anything on it.
-    void hold(http_exchange_ptr const& exchange);
+    void hold_open(http_exchange_ptr const& exchange);
 
-    void token(engine_run const& run, std::uint32_t index);
-    void done(engine_run const& run);
+    void broadcast_token(engine_run const& run, std::uint32_t index);
+    void finish_run(engine_run const& run);
     /// \brief Sends tokens that were delivered before to one connection.
-    void repeat(http_exchange& exchange, engine_run const& run, std::uint32_t from,
+    void resend(http_exchange& exchange, engine_run const& run, std::uint32_t from,
                 std::uint32_t until);
     static void send_done(http_exchange& exchange, engine_run const& run);
 
-    void beat();
+    void send_heartbeats();
     /// \brief Closes the connections of one run.
     void cut(std::uint32_t run);
     void cut_all();
@@ -56,7 +56,7 @@
     void send_faulty(http_exchange& exchange, engine_run const& run, std::uint32_t index);
 
     std::unordered_map<std::uint32_t, std::vector<http_exchange_ptr>> by_run_;
-    std::vector<http_exchange_ptr> held_;
+    std::vector<http_exchange_ptr> silent_exchanges_;
     token_fault fault_ = token_fault::none;
     std::uint32_t fault_count_ = 0;
 };
--- a/tests/system/fleet.cpp
+++ b/tests/system/fleet.cpp
@@ -94,12 +94,12 @@
         start_engine(shape, i);
     }
     control(platform_, {{"config", configuration()}});
-    publish_list();
+    publish_vm_list();
     for (int i = 0; i < shape.entry_vms; ++i)
     {
         start_entry();
     }
-    publish_list();
+    publish_vm_list();
     for (std::size_t i = 0; i < entries_.size(); ++i)
     {
         if (!eventually([&] { return ready(i); }))
@@ -117,23 +117,23 @@
 
 void fleet::start_engine(fleet_shape const& shape, int number)
 {
-    engine_place place;
-    place.zone = zone_of(number);
-    std::vector<std::string> args{"engine", "--zone", place.zone};
+    engine_instance instance;
+    instance.zone = zone_of(number);
+    std::vector<std::string> args{"engine", "--zone", instance.zone};
     args.insert(args.end(), shape.engine_args.begin(), shape.engine_args.end());
-    place.program = std::make_unique<process>("plumdale-standins", args);
-    place.address = place.program->line_after("listening");
-    place.listed = place.address;
-    place.incarnation_number =
-        get(place.address, "/v1/load").at("uptime").to_number<std::uint64_t>();
+    instance.program = std::make_unique<process>("plumdale-standins", args);
+    instance.address = instance.program->line_after("listening");
+    instance.listed_address = instance.address;
+    instance.incarnation_number =
+        get(instance.address, "/v1/load").at("uptime").to_number<std::uint64_t>();
     if (shape.relays)
     {
-        place.relay = std::make_unique<process>(
-            "plumdale-standins", std::vector<std::string>{"relay", "--to", place.address});
-        place.relay_controls = place.relay->line_after("control");
-        place.listed = place.relay->line_after("listening");
+        instance.relay = std::make_unique<process>(
+            "plumdale-standins", std::vector<std::string>{"relay", "--to", instance.address});
+        instance.relay_control_address = instance.relay->line_after("control");
+        instance.listed_address = instance.relay->line_after("listening");
     }
-    engines_.push_back(std::move(place));
+    engines_.push_back(std::move(instance));
 }
 
 std::size_t fleet::start_entry()
@@ -141,24 +141,24 @@
     std::size_t const number = entries_.size();
     auto const file = folder_ / (std::to_string(number) + ".json");
     json::array seeds;
-    for (entry_place const& known : entries_)
+    for (entry_instance const& known : entries_)
     {
-        seeds.push_back(json::value(known.datagrams));
+        seeds.push_back(json::value(known.datagram_address));
     }
     std::ofstream{file} << settings_text(zone_of(static_cast<int>(number)), platform_, seeds);
-    entry_place place;
-    place.program =
+    entry_instance instance;
+    instance.program =
         std::make_unique<process>("plumdaled", std::vector<std::string>{"--config", file.string()});
-    place.datagrams = place.program->line_after("datagrams");
-    place.address = place.program->line_after("listening");
-    entries_.push_back(std::move(place));
+    instance.datagram_address = instance.program->line_after("datagrams");
+    instance.address = instance.program->line_after("listening");
+    entries_.push_back(std::move(instance));
     return number;
 }
 
 std::size_t fleet::add_entry()
 {
     std::size_t const number = start_entry();
-    publish_list();
+    publish_vm_list();
     if (!eventually([&] { return ready(number); }))
     {
         throw std::runtime_error{"an added entry VM did not become ready"};
@@ -166,18 +166,18 @@
     return number;
 }
 
-void fleet::publish_list(json::object const& leaving)
+void fleet::publish_vm_list(json::object const& leaving)
 {
     json::array upstreams;
-    for (engine_place const& place : engines_)
+    for (engine_instance const& instance : engines_)
     {
-        upstreams.push_back(json::object{{"name", place.address},
+        upstreams.push_back(json::object{{"name", instance.address},
                                          {"kind", "engine"},
-                                         {"zone", place.zone},
+                                         {"zone", instance.zone},
                                          {"model", "lists"},
-                                         {"address", place.listed},
-                                         {"uptime", place.incarnation_number},
-                                         {"leaving", leaving.contains(place.address)},
+                                         {"address", instance.listed_address},
+                                         {"uptime", instance.incarnation_number},
+                                         {"leaving", leaving.contains(instance.address)},
                                          {"fences_orders", true}});
     }
     upstreams.push_back(json::object{{"name", "grocers"},
@@ -189,11 +189,11 @@
                                      {"leaving", false},
                                      {"fences_orders", false}});
     json::array vms;
-    for (entry_place& place : entries_)
+    for (entry_instance& instance : entries_)
     {
-        if (place.program->running())
+        if (instance.program->running())
         {
-            vms.push_back(json::object{{"address", place.datagrams}, {"leaving", false}});
+            vms.push_back(json::object{{"address", instance.datagram_address}, {"leaving", false}});
         }
     }
     control(platform_, {{"vms", json::object{{"upstreams", upstreams}, {"entry_vms", vms}}}});
@@ -204,12 +204,12 @@
     return request(entries_[number].address, "GET", "/health", "").status == 200;
 }
 
-engine_place& fleet::engine(std::size_t number)
+engine_instance& fleet::engine(std::size_t number)
 {
     return engines_.at(number);
 }
 
-entry_place& fleet::entry(std::size_t number)
+entry_instance& fleet::entry(std::size_t number)
 {
     return entries_.at(number);
 }
@@ -244,7 +244,7 @@
     options.prompt =
         "request " + std::to_string(++count) + " [tokens=" + std::to_string(tokens) + "]";
     options.idle_timeout = std::chrono::seconds{3};
-    options.attach_timeout = bound;
+    options.attach_timeout = default_timeout;
     return options;
 }
 
@@ -300,8 +300,8 @@
                                                             [](std::string const&) {
                                                             }};
                   plumctl::generate_session session{options, listener};
-                  view_.failed = session.run();
-                  view_.answer = session.answer();
+                  result_.failed = session.run();
+                  result_.answer = session.answer();
                   ended_ = true;
               }}
 {
@@ -325,28 +325,28 @@
     return ended_;
 }
 
-caller_view const& running_caller::finish()
+caller_result const& running_caller::finish()
 {
     if (thread_.joinable())
     {
         thread_.join();
     }
-    return view_;
+    return result_;
 }
 
-std::string fault_in(caller_view const& view, std::uint32_t expected)
+std::string describe_fault(caller_result const& result, std::uint32_t expected)
 {
-    std::vector<standins::seen_token> tokens;
-    for (plumctl::token_event const& token : view.answer.tokens)
+    std::vector<standins::received_token> tokens;
+    for (plumctl::token_event const& token : result.answer.tokens)
     {
         tokens.push_back({token.id, token.text});
     }
     std::string const wrong = standins::check_answer(tokens, expected);
-    if (!view.failed)
+    if (!result.failed)
     {
         return wrong;
     }
-    return std::string{state::answer_for(view.failed->kind).name} + " (" + view.failed->detail +
+    return std::string{state::answer_for(result.failed->kind).name} + " (" + result.failed->detail +
            ") " + wrong;
 }
 
--- a/tests/system/fleet.hpp
+++ b/tests/system/fleet.hpp
@@ -36,26 +36,26 @@
 };
 
 /// \brief An engine, and the relay before it when there is one.
-struct engine_place
+struct engine_instance
 {
     std::unique_ptr<process> program;
     std::unique_ptr<process> relay;
-    std::string address; ///< The engine's own, for record and control.
-    std::string listed;  ///< What the platform lists: the relay's, if there is one.
-    std::string relay_controls;
+    std::string address;        ///< The engine's own, for record and control.
+    std::string listed_address; ///< What the platform lists: the relay's, if there is one.
+    std::string relay_control_address;
     std::string zone;
     std::uint64_t incarnation_number = 0;
 };
 
-struct entry_place
+struct entry_instance
 {
     std::unique_ptr<process> program;
     std::string address;
-    std::string datagrams;
+    std::string datagram_address;
 };
 
 /// \brief What a caller saw.
-struct caller_view
+struct caller_result
 {
     plumctl::generate_answer answer;
     std::optional<state::failure> failed;
@@ -70,8 +70,8 @@
     fleet& operator=(fleet const&) = delete;
     ~fleet();
 
-    [[nodiscard]] engine_place& engine(std::size_t number);
-    [[nodiscard]] entry_place& entry(std::size_t number);
+    [[nodiscard]] engine_instance& engine(std::size_t number);
+    [[nodiscard]] entry_instance& entry(std::size_t number);
     [[nodiscard]] std::size_t entry_count() const noexcept;
     [[nodiscard]] std::string const& platform() const noexcept;
     [[nodiscard]] std::string const& service() const noexcept;
@@ -79,7 +79,7 @@
     /// \brief Starts one more entry VM and waits until it is ready; returns its number.
     std::size_t add_entry();
     /// \brief Tells the platform of the upstreams and entry VMs that run now.
-    void publish_list(boost::json::object const& leaving = {});
+    void publish_vm_list(boost::json::object const& leaving = {});
     /// \brief Returns whether the entry VM says that it is ready.
     [[nodiscard]] bool ready(std::size_t number) const;
 
@@ -103,8 +103,8 @@
     std::unique_ptr<process> service_program_;
     std::string platform_;
     std::string service_;
-    std::deque<engine_place> engines_;
-    std::deque<entry_place> entries_;
+    std::deque<engine_instance> engines_;
+    std::deque<entry_instance> entries_;
 };
 
 /// \brief A caller on a thread of its own.
@@ -120,19 +120,19 @@
     [[nodiscard]] std::uint32_t tokens() const noexcept;
     [[nodiscard]] bool ended() const noexcept;
     /// \brief Waits for the end and returns what the caller saw.
-    [[nodiscard]] caller_view const& finish();
+    [[nodiscard]] caller_result const& finish();
 
 private:
     std::atomic<std::uint32_t> tokens_{0};
     std::atomic<bool> ended_{false};
-    caller_view view_;
+    caller_result result_;
     std::thread thread_;
 };
 
-/// \brief What `fault_in` returns for an answer that is right.
+/// \brief What `describe_fault` returns for an answer that is right.
 inline constexpr std::string_view no_fault{};
 
 /// \brief Returns what is wrong with an answer that should be whole, or an empty text.
-[[nodiscard]] std::string fault_in(caller_view const& view, std::uint32_t expected);
+[[nodiscard]] std::string describe_fault(caller_result const& result, std::uint32_t expected);
 
 } // namespace plumdale::system_tests
--- a/tests/system/process.cpp
+++ b/tests/system/process.cpp
@@ -75,7 +75,7 @@
 
 std::string process::read_line()
 {
-    auto const until = std::chrono::steady_clock::now() + bound;
+    auto const until = std::chrono::steady_clock::now() + default_timeout;
     while (unread_.find('\n') == std::string::npos)
     {
         pollfd ready{output_, POLLIN, 0};
--- a/tests/system/process.hpp
+++ b/tests/system/process.hpp
@@ -14,11 +14,11 @@
 {
 
 /// \brief Generous, so that a busy machine passes; what never comes fails loudly.
-inline constexpr std::chrono::seconds bound{20};
+inline constexpr std::chrono::seconds default_timeout{20};
 
 /// \brief Asks again and again until the condition holds; false when the bound has passed.
 [[nodiscard]] bool eventually(std::function<bool()> const& condition,
-                              std::chrono::milliseconds within = bound);
+                              std::chrono::milliseconds within = default_timeout);
 
 /// \brief One program of the build, started with its standard output read by the test.
 class process
@@ -37,7 +37,7 @@
     void signal(int number) const;
     /// \brief Returns the exit code once the process has ended (128 + signal when one ended it), or
     /// no value when the bound has passed.
-    [[nodiscard]] std::optional<int> wait(std::chrono::milliseconds within = bound);
+    [[nodiscard]] std::optional<int> wait(std::chrono::milliseconds within = default_timeout);
     [[nodiscard]] bool running();
 
 private:
--- a/tests/system/test_drain.cpp
+++ b/tests/system/test_drain.cpp
@@ -16,22 +16,22 @@
 {
     int const signals = GENERATE(1, 2);
     CAPTURE(signals);
-    fleet all{fleet_shape{}};
-    running_caller draft{all.caller({0}, "draft", 300)};
-    running_caller question{all.caller({0}, "question", 200)};
+    fleet deployment{fleet_shape{}};
+    running_caller draft{deployment.caller({0}, "draft", 300)};
+    running_caller question{deployment.caller({0}, "question", 200)};
     REQUIRE(eventually([&] { return draft.tokens() >= 10 && question.tokens() >= 10; }));
     for (int i = 0; i < signals; ++i)
     {
-        all.entry(0).program->signal(SIGTERM);
-        CHECK(eventually([&] { return !all.ready(0); }));
+        deployment.entry(0).program->signal(SIGTERM);
+        CHECK(eventually([&] { return !deployment.ready(0); }));
     }
-    running_caller late{all.caller({0}, "draft", 5)};
+    running_caller late{deployment.caller({0}, "draft", 5)};
     REQUIRE(late.finish().failed);
     CHECK(late.finish().failed->kind == state::error_kind::draining);
-    CHECK(fault_in(draft.finish(), 300) == no_fault);
+    CHECK(describe_fault(draft.finish(), 300) == no_fault);
     CHECK(draft.finish().answer.attachments == 0);
-    CHECK(fault_in(question.finish(), 200) == no_fault);
+    CHECK(describe_fault(question.finish(), 200) == no_fault);
     CHECK(question.finish().answer.attachments == 0);
-    CHECK(all.entry(0).program->wait() == 0);
-    CHECK(all.runs().size() == 2);
+    CHECK(deployment.entry(0).program->wait() == 0);
+    CHECK(deployment.runs().size() == 2);
 }
--- a/tests/system/test_entry_faults.cpp
+++ b/tests/system/test_entry_faults.cpp
@@ -16,33 +16,33 @@
 // twice.
 TEST_CASE("a draft survives the death of its entry VM", "[system]")
 {
-    fleet all{fleet_shape{}};
-    running_caller caller{all.caller({0, 1, 2}, "draft", 300)};
+    fleet deployment{fleet_shape{}};
+    running_caller caller{deployment.caller({0, 1, 2}, "draft", 300)};
     REQUIRE(eventually([&] { return caller.tokens() >= 20; }));
-    all.entry(0).program->signal(SIGKILL);
-    caller_view const& view = caller.finish();
-    CHECK(fault_in(view, 300) == no_fault);
-    CHECK(view.answer.attachments >= 1);
-    CHECK(all.runs_of(view.answer.generation) == 1);
+    deployment.entry(0).program->signal(SIGKILL);
+    caller_result const& result = caller.finish();
+    CHECK(describe_fault(result, 300) == no_fault);
+    CHECK(result.answer.attachments >= 1);
+    CHECK(deployment.runs_of(result.answer.generation) == 1);
 }
 
 // The caller's entry VM freezes in the middle; the caller gives up on it and attaches elsewhere.
 // The frozen one wakes and still believes that it owns the stream: it must not start it again.
 TEST_CASE("an entry VM that freezes and wakes runs nothing twice", "[system]")
 {
-    fleet all{fleet_shape{}};
-    auto options = all.caller({0, 1, 2}, "draft", 400);
+    fleet deployment{fleet_shape{}};
+    auto options = deployment.caller({0, 1, 2}, "draft", 400);
     options.idle_timeout = 1s;
     running_caller caller{options};
     REQUIRE(eventually([&] { return caller.tokens() >= 20; }));
-    all.entry(0).program->signal(SIGSTOP);
+    deployment.entry(0).program->signal(SIGSTOP);
     std::uint32_t const before = caller.tokens();
     CHECK(eventually([&] { return caller.tokens() > before + 30; }));
-    all.entry(0).program->signal(SIGCONT);
-    caller_view const& view = caller.finish();
-    CHECK(fault_in(view, 400) == no_fault);
-    CHECK(eventually([&] { return all.ready(0); }));
-    CHECK(all.runs_of(view.answer.generation) == 1);
+    deployment.entry(0).program->signal(SIGCONT);
+    caller_result const& result = caller.finish();
+    CHECK(describe_fault(result, 400) == no_fault);
+    CHECK(eventually([&] { return deployment.ready(0); }));
+    CHECK(deployment.runs_of(result.answer.generation) == 1);
 }
 
 // A caller's client sends its billed draft again, through another entry VM and under the same key,
@@ -51,8 +51,8 @@
 // for some seconds; the client comes back, as it is told to.
 TEST_CASE("a repeat under the same key runs nothing", "[system]")
 {
-    fleet all{fleet_shape{}};
-    auto options = all.caller({0}, "draft", 200);
+    fleet deployment{fleet_shape{}};
+    auto options = deployment.caller({0}, "draft", 200);
     options.one_call = true;
     options.idempotency_key = "list-of-monday";
     options.attempt = 1;
@@ -73,41 +73,41 @@
         });
     REQUIRE(started);
     auto again = options;
-    again.entries = {all.entry(1).address};
+    again.entries = {deployment.entry(1).address};
     again.attempt = 2;
     again.attach_timeout = 1s;
     running_caller second{again};
-    CHECK(fault_in(second.finish(), 200) == no_fault);
-    caller_view const& before = first->finish();
+    CHECK(describe_fault(second.finish(), 200) == no_fault);
+    caller_result const& before = first->finish();
     REQUIRE(before.failed);
     CHECK(before.failed->kind == state::error_kind::superseded);
-    caller_view const prefix{before.answer, {}};
-    CHECK(fault_in(prefix, before.answer.next_index) == no_fault);
-    CHECK(all.runs().size() == 1);
+    caller_result const prefix{before.answer, {}};
+    CHECK(describe_fault(prefix, before.answer.next_index) == no_fault);
+    CHECK(deployment.runs().size() == 1);
 }
 
 // All entry VMs are replaced one by one, as in a rollout: each drains while drafts run through it,
 // and a new one joins. No answer is cut, and none runs twice.
 TEST_CASE("a rolling replacement of all entry VMs cuts no answer", "[system]")
 {
-    fleet all{fleet_shape{}};
+    fleet deployment{fleet_shape{}};
     std::deque<running_caller> callers;
     for (std::size_t old = 0; old < 3; ++old)
     {
-        std::size_t const added = all.add_entry();
-        callers.emplace_back(all.caller({old, added}, "draft", 150));
+        std::size_t const added = deployment.add_entry();
+        callers.emplace_back(deployment.caller({old, added}, "draft", 150));
         REQUIRE(eventually([&] { return callers.back().tokens() >= 5; }));
-        all.entry(old).program->signal(SIGTERM);
-        CHECK(all.entry(old).program->wait() == 0);
-        all.publish_list();
+        deployment.entry(old).program->signal(SIGTERM);
+        CHECK(deployment.entry(old).program->wait() == 0);
+        deployment.publish_vm_list();
     }
     for (running_caller& caller : callers)
     {
-        caller_view const& view = caller.finish();
-        CHECK(fault_in(view, 150) == no_fault);
-        CHECK(view.answer.attachments == 0);
-        CHECK(all.runs_of(view.answer.generation) == 1);
+        caller_result const& result = caller.finish();
+        CHECK(describe_fault(result, 150) == no_fault);
+        CHECK(result.answer.attachments == 0);
+        CHECK(deployment.runs_of(result.answer.generation) == 1);
     }
-    running_caller last{all.caller({3, 4, 5}, "question", 5)};
-    CHECK(fault_in(last.finish(), 5) == no_fault);
+    running_caller last{deployment.caller({3, 4, 5}, "question", 5)};
+    CHECK(describe_fault(last.finish(), 5) == no_fault);
 }
--- a/tests/system/test_fleet_summary.cpp
+++ b/tests/system/test_fleet_summary.cpp
@@ -11,16 +11,16 @@
 
 entry_status entry(std::size_t number)
 {
-    entry_status standing;
-    standing.name = "vm-" + std::to_string(number);
-    standing.zone = number % 2 == 0 ? "a" : "b";
-    standing.is_ready = true;
-    standing.is_active_reader = number < 2;
-    standing.configuration = 31;
-    standing.directory_digest = "77";
-    standing.platform_age_ms = 400;
-    standing.calls = 2;
-    return standing;
+    entry_status status;
+    status.name = "vm-" + std::to_string(number);
+    status.zone = number % 2 == 0 ? "a" : "b";
+    status.is_ready = true;
+    status.is_active_reader = number < 2;
+    status.configuration = 31;
+    status.directory_digest = "77";
+    status.platform_age_ms = 400;
+    status.calls = 2;
+    return status;
 }
 
 std::vector<entry_status> fleet()
--- a/tests/system/test_link_faults.cpp
+++ b/tests/system/test_link_faults.cpp
@@ -21,14 +21,14 @@
     shape.engines = 1;
     shape.entry_vms = 1;
     shape.relays = true;
-    fleet all{shape};
-    running_caller caller{all.caller({0}, "draft", 300)};
+    fleet deployment{shape};
+    running_caller caller{deployment.caller({0}, "draft", 300)};
     REQUIRE(eventually([&] { return caller.tokens() >= 20; }));
-    control(all.engine(0).relay_controls, fault);
-    caller_view const& view = caller.finish();
-    CHECK(fault_in(view, 300) == no_fault);
-    CHECK(view.answer.attachments == 0);
-    CHECK(all.runs_of(view.answer.generation) == 1);
+    control(deployment.engine(0).relay_control_address, fault);
+    caller_result const& result = caller.finish();
+    CHECK(describe_fault(result, 300) == no_fault);
+    CHECK(result.answer.attachments == 0);
+    CHECK(deployment.runs_of(result.answer.generation) == 1);
 }
 
 // The caller of a question is told "not run" with a time to come back: the only engine's port
@@ -39,14 +39,14 @@
     shape.engines = 1;
     shape.entry_vms = 1;
     shape.relays = true;
-    fleet all{shape};
-    control(all.engine(0).relay_controls, {{"refuse", true}, {"cut", true}});
-    auto options = all.caller({0}, "draft", 10);
+    fleet deployment{shape};
+    control(deployment.engine(0).relay_control_address, {{"refuse", true}, {"cut", true}});
+    auto options = deployment.caller({0}, "draft", 10);
     options.attach_timeout = std::chrono::seconds{1};
     running_caller caller{options};
-    caller_view const& view = caller.finish();
-    REQUIRE(view.failed);
-    INFO(fault_in(view, 10));
-    CHECK(view.answer.tokens.empty());
-    CHECK(all.runs().empty());
+    caller_result const& result = caller.finish();
+    REQUIRE(result.failed);
+    INFO(describe_fault(result, 10));
+    CHECK(result.answer.tokens.empty());
+    CHECK(deployment.runs().empty());
 }
--- a/tests/system/test_platform_faults.cpp
+++ b/tests/system/test_platform_faults.cpp
@@ -12,16 +12,16 @@
 namespace
 {
 
-std::vector<std::pair<std::string, std::string>> as_operator(char const* key = operator_key)
+std::vector<std::pair<std::string, std::string>> operator_headers(char const* key = operator_key)
 {
     return {{"Authorization", std::string{"Bearer "} + key}};
 }
 
 // The preset in force as an entry VM says it, or an empty text.
-std::string in_force(fleet& all, std::size_t entry)
+std::string in_force(fleet& deployment, std::size_t entry)
 {
-    answer const got = request(all.entry(entry).address, "GET", "/admin/status", "",
-                               std::chrono::seconds{1}, as_operator());
+    answer const got = request(deployment.entry(entry).address, "GET", "/admin/status", "",
+                               std::chrono::seconds{1}, operator_headers());
     if (got.status != 200)
     {
         return {};
@@ -29,11 +29,11 @@
     return std::string{json::parse(got.body).at("in_force").at("preset").as_string()};
 }
 
-bool in_force_everywhere(fleet& all, std::string const& preset)
+bool in_force_everywhere(fleet& deployment, std::string const& preset)
 {
-    for (std::size_t i = 0; i < all.entry_count(); ++i)
+    for (std::size_t i = 0; i < deployment.entry_count(); ++i)
     {
-        if (all.entry(i).program->running() && in_force(all, i) != preset)
+        if (deployment.entry(i).program->running() && in_force(deployment, i) != preset)
         {
             return false;
         }
@@ -41,15 +41,16 @@
     return true;
 }
 
-void publish_switch(fleet& all, std::string const& preset)
+void publish_switch(fleet& deployment, std::string const& preset)
 {
-    control(all.platform(), {{"config", {{"switch", {{"preset", preset}}}}}});
+    control(deployment.platform(), {{"config", {{"switch", {{"preset", preset}}}}}});
 }
 
-answer operator_switch(fleet& all, std::size_t entry, std::string const& preset)
+answer operator_switch(fleet& deployment, std::size_t entry, std::string const& preset)
 {
-    return request(all.entry(entry).address, "POST", "/admin/preset",
-                   json::serialize(json::object{{"preset", preset}}), bound, as_operator());
+    return request(deployment.entry(entry).address, "POST", "/admin/preset",
+                   json::serialize(json::object{{"preset", preset}}), default_timeout,
+                   operator_headers());
 }
 
 } // namespace
@@ -57,20 +58,21 @@
 // Operators publish a switch and see it in force at every entry VM.
 TEST_CASE("a published switch comes into force everywhere", "[system]")
 {
-    fleet all{fleet_shape{}};
-    CHECK(eventually([&] { return in_force_everywhere(all, "ordinary"); }));
-    publish_switch(all, "peak");
-    CHECK(eventually([&] { return in_force_everywhere(all, "peak"); }));
+    fleet deployment{fleet_shape{}};
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "ordinary"); }));
+    publish_switch(deployment, "peak");
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "peak"); }));
 }
 
 // An operator of the configuration asks for the status. Known to the switch alone, as it was, that
 // operator could change the preset and not see whether it is in force.
 TEST_CASE("operators of the configuration read the status, strangers do not", "[system]")
 {
-    fleet all{fleet_shape{1, 1}};
+    fleet deployment{fleet_shape{1, 1}};
     auto const status_with = [&](char const* key)
     {
-        return request(all.entry(0).address, "GET", "/admin/status", "", bound, as_operator(key))
+        return request(deployment.entry(0).address, "GET", "/admin/status", "", default_timeout,
+                       operator_headers(key))
             .status;
     };
     CHECK(status_with(operator_key) == 200);
@@ -83,31 +85,32 @@
 // which loses everywhere.
 TEST_CASE("a switch made while the platform is down is kept when it returns", "[system]")
 {
-    fleet all{fleet_shape{}};
-    CHECK(eventually([&] { return in_force_everywhere(all, "ordinary"); }));
-    control(all.platform(), {{"down", true}});
-    answer const switched = operator_switch(all, 0, "peak");
+    fleet deployment{fleet_shape{}};
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "ordinary"); }));
+    control(deployment.platform(), {{"down", true}});
+    answer const switched = operator_switch(deployment, 0, "peak");
     INFO(switched.body);
     CHECK(switched.status == 200);
-    CHECK(eventually([&] { return in_force_everywhere(all, "peak"); }));
-    running_caller question{all.caller({2}, "question", 10)};
-    CHECK(fault_in(question.finish(), 10) == no_fault);
-    control(all.platform(), {{"down", false}});
-    std::int64_t const calls = get(all.platform(), "/v1/record").at("calls").as_int64();
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "peak"); }));
+    running_caller question{deployment.caller({2}, "question", 10)};
+    CHECK(describe_fault(question.finish(), 10) == no_fault);
+    control(deployment.platform(), {{"down", false}});
+    std::int64_t const calls = get(deployment.platform(), "/v1/record").at("calls").as_int64();
     CHECK(eventually(
-        [&] { return get(all.platform(), "/v1/record").at("calls").as_int64() > calls + 10; }));
-    CHECK(in_force_everywhere(all, "peak"));
+        [&]
+        { return get(deployment.platform(), "/v1/record").at("calls").as_int64() > calls + 10; }));
+    CHECK(in_force_everywhere(deployment, "peak"));
 }
 
 // The platform shows old values for long. An entry VM that starts now, with no memory, must not
 // serve with what it reads there: its peers hold the newer switch.
 TEST_CASE("an empty entry VM believes its peers rather than a stale platform", "[system]")
 {
-    fleet all{fleet_shape{}};
-    CHECK(eventually([&] { return in_force_everywhere(all, "ordinary"); }));
-    control(all.platform(), {{"stale", true}});
-    CHECK(operator_switch(all, 1, "peak").status == 200);
-    CHECK(eventually([&] { return in_force_everywhere(all, "peak"); }));
-    std::size_t const added = all.add_entry();
-    CHECK(in_force(all, added) == "peak");
+    fleet deployment{fleet_shape{}};
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "ordinary"); }));
+    control(deployment.platform(), {{"stale", true}});
+    CHECK(operator_switch(deployment, 1, "peak").status == 200);
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "peak"); }));
+    std::size_t const added = deployment.add_entry();
+    CHECK(in_force(deployment, added) == "peak");
 }
--- a/tests/system/test_plumctl.cpp
+++ b/tests/system/test_plumctl.cpp
@@ -22,7 +22,7 @@
 }
 
 // Nothing listens on the discard port of loopback.
-constexpr char const* nobody = "127.0.0.1:9";
+constexpr char const* unreachable_address = "127.0.0.1:9";
 
 } // namespace
 
@@ -39,16 +39,16 @@
     CHECK(exit_code({}) == invalid);
     CHECK(exit_code({"no-such-command"}) == invalid);
     CHECK(exit_code({"status"}) == invalid);
-    CHECK(exit_code({"preset", "switch", "--entry", nobody}) == invalid);
+    CHECK(exit_code({"preset", "switch", "--entry", unreachable_address}) == invalid);
     CHECK(exit_code({"status", "--entry", "no address"}) == invalid);
 }
 
 TEST_CASE("an entry VM that can't be reached has its own code", "[plumctl]")
 {
     int const failed = code_of(state::error_kind::connection_failed);
-    CHECK(exit_code({"status", "--entry", nobody}) == failed);
-    CHECK(exit_code({"drain", "--entry", nobody, "--json"}) == failed);
-    CHECK(exit_code({"generate", "--entry", nobody, "--prompt", "x"}) == failed);
+    CHECK(exit_code({"status", "--entry", unreachable_address}) == failed);
+    CHECK(exit_code({"drain", "--entry", unreachable_address, "--json"}) == failed);
+    CHECK(exit_code({"generate", "--entry", unreachable_address, "--prompt", "x"}) == failed);
 }
 
 TEST_CASE("settings that can't be read are invalid", "[plumctl]")
--- a/tests/system/test_services.cpp
+++ b/tests/system/test_services.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-answer call(fleet& all, bool repeatable)
+answer call(fleet& deployment, bool repeatable)
 {
-    return request(all.entry(0).address, "POST", "/v1/services/grocers/v1/milk", R"({"q":1})",
-                   bound,
+    return request(deployment.entry(0).address, "POST", "/v1/services/grocers/v1/milk",
+                   R"({"q":1})", default_timeout,
                    {{"Authorization", std::string{"Bearer "} + customer_key},
                     {"Plumdale-Repeatable", repeatable ? "true" : "false"}});
 }
@@ -24,9 +24,9 @@
     return std::string{body.at("error").at("claim").as_string()};
 }
 
-std::size_t calls(fleet& all)
+std::size_t calls(fleet& deployment)
 {
-    return get(all.service(), "/v1/record").at("calls").as_array().size();
+    return get(deployment.service(), "/v1/record").at("calls").as_array().size();
 }
 
 } // namespace
@@ -34,33 +34,33 @@
 // The caller of a plain service sees its answer whole, and the service ran the call once.
 TEST_CASE("a call to a plain service is passed through", "[system]")
 {
-    fleet all{fleet_shape{}};
-    answer const got = call(all, false);
+    fleet deployment{fleet_shape{}};
+    answer const got = call(deployment, false);
     CHECK(got.status == 200);
     CHECK(got.body.find("\"ran\":1") != std::string::npos);
-    CHECK(calls(all) == 1);
+    CHECK(calls(deployment) == 1);
 }
 
 // The service runs the call and the connection breaks before its answer. A billed call may have
 // run, so the caller is told just that and it isn't sent again.
 TEST_CASE("a call that may have run is not sent again", "[system]")
 {
-    fleet all{fleet_shape{}};
-    control(all.service(), {{"cut_after_run", true}});
-    answer const got = call(all, false);
+    fleet deployment{fleet_shape{}};
+    control(deployment.service(), {{"cut_after_run", true}});
+    answer const got = call(deployment, false);
     CHECK(got.status == 502);
     CHECK(claim_of(got) == "may_have_run");
-    CHECK(calls(all) == 1);
+    CHECK(calls(deployment) == 1);
 }
 
 // The service says that it did not run the call. The caller is told "not run", which its record
 // confirms.
 TEST_CASE("a call that a service refused is told as not run", "[system]")
 {
-    fleet all{fleet_shape{}};
-    control(all.service(), {{"refuse", true}});
-    answer const got = call(all, false);
+    fleet deployment{fleet_shape{}};
+    control(deployment.service(), {{"refuse", true}});
+    answer const got = call(deployment, false);
     CHECK(got.status >= 400);
     CHECK(claim_of(got) == "not_run");
-    CHECK(calls(all) == 0);
+    CHECK(calls(deployment) == 0);
 }
--- a/tests/system/test_standins.cpp
+++ b/tests/system/test_standins.cpp
@@ -148,8 +148,8 @@
 TEST_CASE("a swallowed connection stays silent while new ones work", "[standins]")
 {
     process engine{"plumdale-standins", {"engine", "--token-ms", "5"}};
-    std::string const behind = engine.line_after("listening");
-    process relay{"plumdale-standins", {"relay", "--to", behind}};
+    std::string const engine_address = engine.line_after("listening");
+    process relay{"plumdale-standins", {"relay", "--to", engine_address}};
     std::string const controls = relay.line_after("control");
     std::string const address = relay.line_after("listening");
     answer swallowed;
@@ -159,7 +159,8 @@
                                request(address, "POST", "/v1/streams", start_body("g-1", 200),
                                        std::chrono::milliseconds{500});
                        }};
-    CHECK(eventually([&] { return !get(behind, "/v1/record").at("runs").as_array().empty(); }));
+    CHECK(eventually([&]
+                     { return !get(engine_address, "/v1/record").at("runs").as_array().empty(); }));
     CHECK(control(controls, {{"open", "swallow"}}) == 1);
     caller.join();
     CHECK(swallowed.status == 0);
--- a/tests/system/web.hpp
+++ b/tests/system/web.hpp
@@ -25,7 +25,7 @@
 
 [[nodiscard]] answer request(std::string const& address, std::string const& method,
                              std::string const& target, std::string const& body,
-                             std::chrono::milliseconds idle = bound,
+                             std::chrono::milliseconds idle = default_timeout,
                              std::vector<std::pair<std::string, std::string>> headers = {});
 
 /// \brief Returns the object that a GET answers; throws when it answers none.
