--- a/examples/embed_admission.cpp
+++ b/examples/embed_admission.cpp
@@ -2,8 +2,8 @@
 
 #include <iostream>
 
-// Embeds admission alone: a load book that projects one engine's memory from its report and own
-// streams, and the limit that says whether one more stream has room.
+// Embeds admission alone: a load forecaster that projects one engine's memory from its report and
+// its open streams, and the limit that decides whether one more stream fits.
 
 int main()
 {
@@ -34,6 +34,6 @@
         load_forecaster::update_gauge(engine, {}, load_forecaster::rounded(400, wanted), now);
         ++admitted;
     }
-    std::cout << admitted << " drafts have room beside what the engine reports\n";
+    std::cout << admitted << " drafts fit beside the load that the engine reports\n";
     return 0;
 }
--- a/examples/embed_entry_node.cpp
+++ b/examples/embed_entry_node.cpp
@@ -4,7 +4,8 @@
 #include <iostream>
 
 /// \file
-/// \brief Embeds the whole decision logic of an entry VM, with a fake engine of four words.
+/// \brief Embeds the whole decision logic of an entry VM, with a fake engine that answers four
+/// words.
 
 using namespace plumdale;
 using namespace plumdale::coordination;
@@ -15,7 +16,7 @@
 
 constexpr auto model = state::id_from_name<state::model_id>("lists");
 
-/// \brief Tells the node what the platform would: one customer, one preset, one engine.
+/// \brief Passes the node what the platform publishes: one customer, one preset, one engine.
 void configure(entry_node& node, state::time_point& now)
 {
     control_actions actions;
@@ -42,7 +43,7 @@
     }
 }
 
-/// \brief Answers a dispatch as an engine would, and prints what the caller is sent.
+/// \brief Answers a dispatch as an engine would, and prints what is sent to the caller.
 class driver
 {
 public:
--- a/examples/embed_length_estimator.cpp
+++ b/examples/embed_length_estimator.cpp
@@ -3,8 +3,8 @@
 #include <iostream>
 #include <random>
 
-// Embeds the length estimator alone: it learns from answers as they run, and tells how much longer
-// one that has 500 tokens is likely to get.
+// Embeds the length estimator alone: it learns from answers as they run, and estimates how much
+// longer an answer that has 500 tokens is likely to get.
 
 int main()
 {
--- a/examples/sign_identity.cpp
+++ b/examples/sign_identity.cpp
@@ -3,7 +3,7 @@
 #include <cstdio>
 
 /// \file
-/// \brief Gives out an identity and checks it, and a guessed one, on another VM of the fleet.
+/// \brief Signs an identity, and verifies it and a guessed one on another VM of the fleet.
 
 using namespace plumdale;
 
--- a/standins/answer_check.hpp
+++ b/standins/answer_check.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 /// \file
-/// \brief Checks an answer by what its caller saw.
+/// \brief Checks an answer by the tokens that its caller received.
 
 namespace plumdale::standins
 {
@@ -19,8 +19,8 @@
     std::string text;
 };
 
-/// \brief Returns what is wrong with an answer, or an empty text: it must hold `expected` tokens in
-/// order, from one generation, and each from the same run on an engine.
+/// \brief Returns the first fault found in an answer, or an empty text. The answer must hold
+/// `expected` tokens in order, from one generation and from one run on an engine.
 [[nodiscard]] inline std::string check_answer(std::vector<received_token> const& tokens,
                                               std::uint32_t expected)
 {
@@ -29,19 +29,19 @@
     for (std::uint32_t index = 0; index < tokens.size(); ++index)
     {
         received_token const& token = tokens[index];
-        std::string const place = "token " + std::to_string(index) + " (" + token.id + ") ";
+        std::string const label = "token " + std::to_string(index) + " (" + token.id + ") ";
         if (token.id.substr(0, token.id.find_first_of("@/")) != generation)
         {
-            return place + "is from another generation than " + generation;
+            return label + "is from another generation than " + generation;
         }
         if (token.id.substr(token.id.rfind('/') + 1) != std::to_string(index))
         {
-            return place + "is out of order";
+            return label + "is out of order";
         }
         char const mark = tokens.front().text.empty() ? 'A' : tokens.front().text.back();
         if (token.text != token_text(generation, index, static_cast<char>(mark - 'A' + 'a')))
         {
-            return place + "has a text that this run did not make:" + token.text;
+            return label + "has a text that this run did not produce:" + token.text;
         }
     }
     if (tokens.size() != expected)
--- a/standins/check.cpp
+++ b/standins/check.cpp
@@ -31,23 +31,24 @@
 int run_check(arguments args)
 {
     TCLAP::CmdLine line{"Checks an answer that plumctl generate --json wrote.", ' ', "0.1"};
-    TCLAP::ValueArg<std::uint32_t> expected{"", "tokens", "tokens due", true, 0, "N", line};
+    TCLAP::ValueArg<std::uint32_t> expected{"",  "tokens", "expected number of tokens", true, 0,
+                                            "N", line};
     TCLAP::UnlabeledValueArg<std::string> file{"file", "the answer", true, "", "FILE", line};
     line.parse(args);
     std::ifstream in{file.getValue()};
     std::string const text{std::istreambuf_iterator<char>{in}, {}};
     boost::system::error_code malformed;
     json::value const answer = json::parse(text, malformed);
-    std::string wrong = malformed || !answer.is_object() || !answer.as_object().contains("tokens")
-                            ? "no answer"
+    std::string fault = malformed || !answer.is_object() || !answer.as_object().contains("tokens")
+                            ? "not an answer"
                             : check_answer(read_tokens(answer.as_object()), expected.getValue());
-    if (wrong.empty() && !answer.at("whole").as_bool())
+    if (fault.empty() && !answer.at("whole").as_bool())
     {
-        wrong = "its end is missing";
+        fault = "the answer is incomplete";
     }
     std::cout << file.getValue() << ": "
-              << (wrong.empty() ? "whole, in order and from one generation" : wrong) << std::endl;
-    return wrong.empty() ? 0 : 1;
+              << (fault.empty() ? "whole, in order and from one generation" : fault) << std::endl;
+    return fault.empty() ? 0 : 1;
 }
 
 } // namespace plumdale::standins
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -191,11 +191,11 @@
         exchange->answer(400, R"({"error":"malformed"})");
         return;
     }
-    bool const taken =
+    bool const accepted =
         orders_.apply({number_member<std::uint64_t>(wanted, "fence"), string_member(wanted, "role"),
                        string_member(wanted, "version"), string_member(wanted, "adapter")},
                       clock::now());
-    exchange->answer(taken ? 200 : 409, orders_.text());
+    exchange->answer(accepted ? 200 : 409, orders_.text());
 }
 
 bool engine::is_retention_expired(engine_run const& run) const
@@ -224,9 +224,11 @@
     return json::serialize(json::object{{"runs", std::move(runs)}, {"orders", orders_.record()}});
 }
 
-// Members: "tokens" {"fault", "count"}, "silence" (open streams go silent, new ones work),
-// "silent" (everything), "slow" (factor), "refuse", "cancel_loses", "cut" (open streams),
-// "leaving_ms" (from then on a start counts as one while leaving), "reclaim_ms", "die".
+// Members: "tokens" {"fault", "count"}, "silence" (open streams send nothing more, new ones work),
+// "silent" (no call is answered), "slow" (factor on step times), "refuse" (new streams),
+// "cancel_loses" (cancels are answered but ignored), "cut" (closes open streams), "leaving_ms"
+// (streams started after this delay are recorded as started while leaving), "reclaim_ms" (exits
+// after this delay), "die" (exits at once).
 void engine::control(http_request const& request, http_exchange_ptr const& exchange)
 {
     json::object const wanted = parse_object(request.body);
@@ -265,7 +267,7 @@
     exchange->answer(200, "{}");
 }
 
-// -- time ----------------------------------------------------------------------------------------
+// -- timers --------------------------------------------------------------------------------------
 
 void engine::step()
 {
--- a/standins/engine.hpp
+++ b/standins/engine.hpp
@@ -17,7 +17,8 @@
 #include <vector>
 
 /// \file
-/// \brief An engine's wire: streams, load, cache events, orders, record and faults on command.
+/// \brief An engine's HTTP interface: streams, load, cache events, orders, record and injected
+/// faults.
 
 namespace plumdale::standins
 {
@@ -30,8 +31,7 @@
     std::chrono::milliseconds heartbeat_interval{1'000};
     std::chrono::milliseconds load_weights{0};
     bool fences_orders = true;
-    std::uint64_t incarnation_number =
-        0; ///< As the platform lists it; zero takes the time of the start.
+    std::uint64_t incarnation_number = 0; ///< As the platform lists it; zero uses the start time.
 };
 
 /// \brief Serves one engine on one thread.
@@ -59,7 +59,7 @@
     void control(http_request const& request, http_exchange_ptr const& exchange);
     [[nodiscard]] std::string record_text() const;
 
-    // -- time ------------------------------------------------------------------------------------
+    // -- timers ----------------------------------------------------------------------------------
     void step();
     void deliver(engine_step const& done);
     void sample_load();
@@ -73,9 +73,11 @@
     stream_readers readers_;
     engine_orders orders_;
     engine_reports reports_;
-    std::vector<std::uint32_t> delivered_; ///< By run; a step's tokens come at its end.
+    std::vector<std::uint32_t>
+        delivered_; ///< Tokens sent, by run; a step sends its tokens at its end.
     std::unordered_map<std::uint32_t, clock::time_point> ended_at_; ///< When a run ended.
-    std::unordered_set<std::uint32_t> started_while_leaving_; ///< Runs started after the notice.
+    std::unordered_set<std::uint32_t>
+        started_while_leaving_; ///< Runs started after `leaving_since_`.
     boost::asio::steady_timer step_timer_;
     boost::asio::steady_timer load_timer_;
     boost::asio::steady_timer heartbeat_timer_;
--- a/standins/engine_command.cpp
+++ b/standins/engine_command.cpp
@@ -22,23 +22,29 @@
 int run_engine(arguments args)
 {
     TCLAP::CmdLine line{"A model engine.", ' ', "0.1"};
-    TCLAP::ValueArg<std::uint16_t> port{"", "port", "0 asks the system", false, 0, "N", line};
+    TCLAP::ValueArg<std::uint16_t> port{"", "port", "0 picks a free port", false, 0, "N", line};
     TCLAP::ValueArg<std::string> zone{"", "zone", "shown in the name", false, "a", "NAME", line};
     TCLAP::ValueArg<std::string> model{"", "model", "model served", false, "lists", "NAME", line};
     TCLAP::ValueArg<double> token{"", "token-ms", "time a step takes", false, 5, "MS", line};
-    TCLAP::ValueArg<double> each{"", "each-ms", "and for each sequence", false, 0.1, "MS", line};
-    TCLAP::ValueArg<std::uint32_t> blocks{"", "blocks", "memory", false, 2000, "N", line};
-    TCLAP::ValueArg<std::uint32_t> batch{"", "max-batch", "sequences", false, 48, "N", line};
-    TCLAP::ValueArg<std::uint32_t> cache{"", "cache-blocks", "for prefixes", false, 500, "N", line};
+    TCLAP::ValueArg<double> each{"", "each-ms", "added for each sequence", false, 0.1, "MS", line};
+    TCLAP::ValueArg<std::uint32_t> blocks{"", "blocks", "blocks of memory", false, 2000, "N", line};
+    TCLAP::ValueArg<std::uint32_t> batch{"",  "max-batch", "sequences in a batch", false, 48,
+                                         "N", line};
+    TCLAP::ValueArg<std::uint32_t> cache{
+        "", "cache-blocks", "blocks for cached prefixes", false, 500, "N", line};
     TCLAP::ValueArg<int> lag{"", "load-lag-ms", "age of a load report", false, 0, "MS", line};
-    TCLAP::ValueArg<int> cache_lag{"", "cache-lag-ms", "of cache events", false, 500, "MS", line};
-    TCLAP::ValueArg<std::uint32_t> gaps{"", "cache-gap", "lost events", false, 5, "PERCENT", line};
-    TCLAP::ValueArg<int> retain{"", "retain-ms", "resume after the end", false, 60000, "MS", line};
-    TCLAP::ValueArg<int> load{"", "load-ms", "to load other weights", false, 0, "MS", line};
-    TCLAP::ValueArg<std::uint64_t> seed{"", "seed", "of gaps", false, 1, "N", line};
-    TCLAP::ValueArg<std::uint64_t> incarnation_number{"",  "uptime", "0 takes the time", false, 0,
-                                                      "N", line};
-    TCLAP::SwitchArg unfenced{"", "unfenced", "take any order, whatever its number", line};
+    TCLAP::ValueArg<int> cache_lag{"",  "cache-lag-ms", "delay of cache events", false, 500, "MS",
+                                   line};
+    TCLAP::ValueArg<std::uint32_t> gaps{"",        "cache-gap", "cache events lost", false, 5,
+                                        "PERCENT", line};
+    TCLAP::ValueArg<int> retain{"",   "retain-ms", "time to resume a finished stream", false, 60000,
+                                "MS", line};
+    TCLAP::ValueArg<int> load{"", "load-ms", "time to load other weights", false, 0, "MS", line};
+    TCLAP::ValueArg<std::uint64_t> seed{"",  "seed", "seed for lost cache events", false, 1,
+                                        "N", line};
+    TCLAP::ValueArg<std::uint64_t> incarnation_number{
+        "", "uptime", "incarnation; 0 uses the start time", false, 0, "N", line};
+    TCLAP::SwitchArg unfenced{"", "unfenced", "accept orders with any fence", line};
     line.parse(args);
 
     engine_settings settings;
--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -118,8 +118,8 @@
     return done;
 }
 
-// Returns the tokens that were prefilled. A preempted run is computed again from its start, prompt
-// and output, less what the cache holds of the prompt.
+// Returns the number of prefilled tokens. A preempted run recomputes its prompt and output, except
+// for the prompt blocks that are in the prefix cache.
 std::uint32_t engine_model::admit()
 {
     std::uint32_t prefilled = 0;
@@ -134,8 +134,8 @@
         }
         run.blocks = needed;
         run.state = run_state::running;
-        std::uint32_t const held = cache_.hits(run.prefix) * (block_bytes / bytes_per_token);
-        prefilled += tokens - std::min(tokens, held);
+        std::uint32_t const cached = cache_.hits(run.prefix) * (block_bytes / bytes_per_token);
+        prefilled += tokens - std::min(tokens, cached);
         running_.push_back(run.number);
         waiting_.pop_front();
     }
@@ -181,12 +181,12 @@
 
 void engine_model::enqueue(std::uint32_t number)
 {
-    auto const place = std::find_if(waiting_.begin(), waiting_.end(),
-                                    [this, number](std::uint32_t other) {
-                                        return std::pair{-runs_[other].priority, other} >
-                                               std::pair{-runs_[number].priority, number};
-                                    });
-    waiting_.insert(place, number);
+    auto const position = std::find_if(waiting_.begin(), waiting_.end(),
+                                       [this, number](std::uint32_t other) {
+                                           return std::pair{-runs_[other].priority, other} >
+                                                  std::pair{-runs_[number].priority, number};
+                                       });
+    waiting_.insert(position, number);
 }
 
 bool engine_model::allocate_blocks(std::uint32_t count)
--- a/standins/engine_model.hpp
+++ b/standins/engine_model.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 /// \file
-/// \brief How an engine batches, fills its memory and preempts; no I/O and no clock.
+/// \brief Model of an engine's batching, memory and preemption, without I/O or a clock.
 
 namespace plumdale::standins
 {
@@ -38,7 +38,7 @@
     std::string kind;
     std::string prompt;
     std::uint32_t max_tokens = 0;
-    /// \brief Greater is more urgent.
+    /// \brief A greater value is more urgent.
     std::int32_t priority = 0;
 };
 
@@ -50,7 +50,7 @@
     cancelled
 };
 
-/// \brief One run of an identity. Starting an identity twice makes two.
+/// \brief One run of an identity. Starting an identity twice makes two runs.
 struct engine_run
 {
     std::uint32_t number = 0;
@@ -67,7 +67,7 @@
     std::vector<std::uint64_t> prefix;
 };
 
-/// \brief A token that a step made, or the end of a run.
+/// \brief A token that a step generated, or the end of a run.
 struct step_output
 {
     std::uint32_t run = 0;
@@ -90,7 +90,8 @@
     std::uint64_t preemptions = 0;
 };
 
-/// \brief Returns the answer's length: `[tokens=N]` in the prompt, else a seeded function of it.
+/// \brief Returns the answer's length in tokens: N if the prompt contains `[tokens=N]`, else a
+/// random number seeded by the prompt.
 [[nodiscard]] std::uint32_t answer_length(stream_request const& request);
 
 /// \brief Continuous batching over memory in blocks, with preemption by recompute.
@@ -103,7 +104,7 @@
     std::uint32_t start(stream_request const& request);
     /// \brief Cancels the newest run of an identity; returns it, or null when there is none.
     engine_run const* cancel(std::string_view generation);
-    /// \brief Does one step; nothing runs when it took no time.
+    /// \brief Runs one step; its duration is zero if no sequence is running.
     engine_step step();
 
     [[nodiscard]] bool idle() const noexcept;
--- a/standins/engine_orders.hpp
+++ b/standins/engine_orders.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 /// \file
-/// \brief Orders that an engine takes: role, version and adapter.
+/// \brief Orders that an engine accepts: role, version and adapter.
 
 namespace plumdale::standins
 {
@@ -21,7 +21,7 @@
     std::string adapter;
 };
 
-/// \brief The order in force and those before it, with or without a check of the fence.
+/// \brief The order in force and all accepted orders, with or without a check of the fence.
 class engine_orders
 {
 public:
@@ -33,9 +33,9 @@
     {
     }
 
-    /// \brief Returns false, and changes nothing, when the fence is old and is checked.
+    /// \brief Returns false and changes nothing if fences are checked and the order's is older.
     bool apply(engine_order const& order, time_point now);
-    /// \brief Returns whether new work of this kind is taken now.
+    /// \brief Returns whether new work of this kind is accepted now.
     [[nodiscard]] bool serves(std::string const& kind, time_point now) const;
     [[nodiscard]] std::string text() const;
     [[nodiscard]] boost::json::array record() const;
--- a/standins/engine_reports.hpp
+++ b/standins/engine_reports.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 /// \file
-/// \brief What an engine publishes of itself: load with a lag, cache events late and with gaps.
+/// \brief An engine's reports: load with a lag, cache events with a delay and gaps.
 
 namespace plumdale::standins
 {
--- a/standins/http_server.cpp
+++ b/standins/http_server.cpp
@@ -36,9 +36,9 @@
     http_request to;
     to.method = from.method_string();
     std::string const target{from.target()};
-    std::size_t const mark = target.find('?');
-    to.path = target.substr(0, mark);
-    to.query = mark == std::string::npos ? std::string{} : target.substr(mark + 1);
+    std::size_t const query_start = target.find('?');
+    to.path = target.substr(0, query_start);
+    to.query = query_start == std::string::npos ? std::string{} : target.substr(query_start + 1);
     for (auto const& field : from)
     {
         to.headers.emplace_back(lower(field.name_string()), std::string{field.value()});
@@ -72,7 +72,7 @@
 
 class session;
 
-/// One request's exchange; holds the session while the handler holds it.
+/// One request's exchange; keeps the session alive while the handler holds it.
 class session_exchange final : public http_exchange
 {
 public:
@@ -153,7 +153,7 @@
         handler_(request, std::make_shared<session_exchange>(shared_from_this()));
     }
 
-    // A caller that leaves in the middle of an answer is seen only by reading.
+    // A caller that disconnects during a response is noticed only by reading from the socket.
     void watch_for_close()
     {
         socket_.async_wait(tcp::socket::wait_read,
@@ -170,9 +170,9 @@
     {
         error_code failed;
         std::array<char, 1> peeked{};
-        std::size_t const got =
+        std::size_t const size =
             socket_.receive(asio::buffer(peeked), tcp::socket::message_peek, failed);
-        if (failed || got == 0)
+        if (failed || size == 0)
         {
             close();
         }
--- a/standins/json_members.hpp
+++ b/standins/json_members.hpp
@@ -33,7 +33,7 @@
     return value != nullptr && value->is_bool() ? value->as_bool() : default_value;
 }
 
-/// \brief Parses an object; an empty one when the text is none.
+/// \brief Parses an object; returns an empty one if the text is not an object.
 [[nodiscard]] inline boost::json::object parse_object(std::string const& text)
 {
     boost::system::error_code malformed;
--- a/standins/main.cpp
+++ b/standins/main.cpp
@@ -36,7 +36,7 @@
     command{"platform", &plumdale::standins::run_platform, "configuration, VM list, weights"},
     command{"service", &plumdale::standins::run_service, "a plain service"},
     command{"relay", &plumdale::standins::run_relay, "a TCP relay that fails on command"},
-    command{"check", &plumdale::standins::run_check, "check an answer that a caller saw"},
+    command{"check", &plumdale::standins::run_check, "check an answer that a caller received"},
 };
 
 int usage()
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -31,7 +31,7 @@
 
 using config_entries = std::map<std::string, config_entry, std::less<>>;
 
-/// A counter that allows `rate` calls in each second.
+/// Allows `rate` calls in each second.
 class call_rate_limiter
 {
 public:
@@ -53,7 +53,7 @@
     clock::time_point window_start_{};
 };
 
-/// A watch that waits for a change; without an exchange once it was answered.
+/// A watch that waits for a change; its exchange is null once it is answered.
 struct pending_watch
 {
     std::uint64_t after = 0;
@@ -191,7 +191,7 @@
         }
     }
 
-    /// While stale, readers see the values as they were when it began.
+    /// While stale, readers get the values from the start of the stale period.
     void set_stale(bool stale)
     {
         if (stale && !stale_)
@@ -252,12 +252,12 @@
     [[nodiscard]] std::string changes_text(std::uint64_t after) const
     {
         json::array changed;
-        for (auto const& [key, held] : visible_values())
+        for (auto const& [key, published] : visible_values())
         {
-            if (held.revision > after)
+            if (published.revision > after)
             {
-                changed.push_back(
-                    json::object{{"key", key}, {"revision", held.revision}, {"value", held.value}});
+                changed.push_back(json::object{
+                    {"key", key}, {"revision", published.revision}, {"value", published.value}});
             }
         }
         return json::serialize(
@@ -306,8 +306,8 @@
 int run_platform(arguments args)
 {
     TCLAP::CmdLine line{"The platform: configuration, VM list, weight store.", ' ', "0.1"};
-    TCLAP::ValueArg<std::uint16_t> port{"", "port", "0 asks the system", false, 0, "N", line};
-    TCLAP::ValueArg<std::string> config{"",     "config", "JSON as /control takes it", false, "",
+    TCLAP::ValueArg<std::uint16_t> port{"", "port", "0 picks a free port", false, 0, "N", line};
+    TCLAP::ValueArg<std::string> config{"",     "config", "JSON, as for /control", false, "",
                                         "FILE", line};
     line.parse(args);
     boost::asio::io_context io{1};
--- a/standins/prefix_cache.cpp
+++ b/standins/prefix_cache.cpp
@@ -61,15 +61,15 @@
 
 std::uint32_t prefix_cache::evict(std::uint32_t count)
 {
-    std::uint32_t done = 0;
-    while (done < count && !lru_order_.empty())
+    std::uint32_t evicted = 0;
+    while (evicted < count && !lru_order_.empty())
     {
         events_.push_back({false, lru_order_.front()});
         positions_.erase(lru_order_.front());
         lru_order_.pop_front();
-        ++done;
+        ++evicted;
     }
-    return done;
+    return evicted;
 }
 
 std::uint32_t prefix_cache::size() const noexcept
--- a/standins/prefix_cache.hpp
+++ b/standins/prefix_cache.hpp
@@ -7,13 +7,13 @@
 #include <vector>
 
 /// \file
-/// \brief The prompt prefixes that an engine keeps, least recently used first out.
+/// \brief An engine's cache of prompt prefixes, which evicts the least recently used first.
 
 namespace plumdale::standins
 {
 
 /// \brief Returns the chained FNV-1a hashes of the prompt's leading blocks of 64 bytes: each hash
-/// goes on from the one before.
+/// continues from the previous one.
 [[nodiscard]] std::vector<std::uint64_t> prefix_hashes(std::string_view prompt);
 
 struct cache_event
@@ -22,20 +22,20 @@
     std::uint64_t prefix = 0;
 };
 
-/// \brief One block of memory for each prefix. Only prefill time is saved: running sequences have
-/// blocks of their own.
+/// \brief Holds one block of memory for each prefix. A hit saves only prefill time: running
+/// sequences have blocks of their own.
 class prefix_cache
 {
 public:
     explicit prefix_cache(std::uint32_t capacity) : capacity_{capacity} {}
 
-    /// \brief Returns how many leading blocks are held, and marks them as used.
+    /// \brief Returns how many leading blocks are cached, and marks them as used.
     std::uint32_t hits(std::vector<std::uint64_t> const& prefix);
     void store(std::vector<std::uint64_t> const& prefix, std::uint32_t free_blocks);
-    /// \brief Gives up to `count` blocks back; returns how many.
+    /// \brief Evicts up to `count` blocks; returns how many.
     std::uint32_t evict(std::uint32_t count);
     [[nodiscard]] std::uint32_t size() const noexcept;
-    /// \brief Returns what happened since the last call.
+    /// \brief Returns the events since the last call.
     [[nodiscard]] std::vector<cache_event> take_events();
 
 private:
--- a/standins/relay.cpp
+++ b/standins/relay.cpp
@@ -24,10 +24,10 @@
 {
     pass,
     stall,   ///< Nothing is read until the mode changes.
-    swallow, ///< Read and thrown away: the connection stays open and is silent for good.
+    swallow, ///< Data is discarded: the connection stays open and is silent for good.
 };
 
-/// One connection through the relay, both ways.
+/// One connection through the relay, in both directions.
 class relay_connection : public std::enable_shared_from_this<relay_connection>
 {
 public:
@@ -140,7 +140,7 @@
     relay_mode mode_ = relay_mode::pass;
 };
 
-/// Accepts, connects on, and treats connections as told.
+/// Accepts connections, relays them to the target and fails them on command.
 class relay
 {
 public:
@@ -155,7 +155,7 @@
         return acceptor_.local_endpoint().port();
     }
 
-    /// Takes `{"open": mode}` for the connections there are, `{"new": mode}` for those that come,
+    /// Takes `{"open": mode}` for open connections, `{"new": mode}` for later ones,
     /// `{"cut": true}` and `{"refuse": true|false}`.
     void control(http_request const& request, http_exchange_ptr const& exchange)
     {
@@ -233,8 +233,8 @@
 int run_relay(arguments args)
 {
     TCLAP::CmdLine line{"A TCP relay that cuts, stalls or swallows on command.", ' ', "0.1"};
-    TCLAP::ValueArg<std::uint16_t> port{"", "port", "0 asks the system", false, 0, "N", line};
-    TCLAP::ValueArg<std::string> to{"", "to", "where to connect on", true, "", "IP:PORT", line};
+    TCLAP::ValueArg<std::uint16_t> port{"", "port", "0 picks a free port", false, 0, "N", line};
+    TCLAP::ValueArg<std::string> to{"", "to", "address to relay to", true, "", "IP:PORT", line};
     line.parse(args);
     std::string const& target = to.getValue();
     std::size_t const colon = target.rfind(':');
--- a/standins/service.cpp
+++ b/standins/service.cpp
@@ -15,7 +15,7 @@
 
 namespace json = boost::json;
 
-/// One call that ran, as checkers read it.
+/// One call that ran, as the record lists it.
 struct call_record
 {
     std::string generation;
@@ -23,7 +23,7 @@
     std::string body;
 };
 
-/// A plain service: answers `{"ran": n, "path": …, "echo": …}` and keeps a record of what it ran.
+/// A plain service: answers `{"ran": n, "path": …, "echo": …}` and records the calls it ran.
 class service
 {
 public:
@@ -113,7 +113,7 @@
 int run_service(arguments args)
 {
     TCLAP::CmdLine line{"A plain service.", ' ', "0.1"};
-    TCLAP::ValueArg<std::uint16_t> port{"", "port", "0 asks the system", false, 0, "N", line};
+    TCLAP::ValueArg<std::uint16_t> port{"", "port", "0 picks a free port", false, 0, "N", line};
     TCLAP::ValueArg<int> delay{"", "delay-ms", "time an answer takes", false, 5, "N", line};
     line.parse(args);
     boost::asio::io_context io{1};
--- a/standins/stream_readers.hpp
+++ b/standins/stream_readers.hpp
@@ -9,12 +9,12 @@
 #include <vector>
 
 /// \file
-/// \brief Who reads an engine's streams, and what goes wrong on the way to them.
+/// \brief The connections that read an engine's streams, and the faults injected into them.
 
 namespace plumdale::standins
 {
 
-/// \brief What is done to token events.
+/// \brief A fault injected into token events.
 enum class token_fault : std::uint8_t
 {
     none,
@@ -24,7 +24,7 @@
     duplicate
 };
 
-/// \brief Returns the fault with this name, or none.
+/// \brief Returns the fault with this name, or `none`.
 [[nodiscard]] token_fault parse_fault(std::string_view name) noexcept;
 
 /// \brief The connections that wait for tokens, by run.
@@ -37,7 +37,7 @@
 
     void broadcast_token(engine_run const& run, std::uint32_t index);
     void finish_run(engine_run const& run);
-    /// \brief Sends tokens that were delivered before to one connection.
+    /// \brief Sends tokens that were delivered earlier again, to one connection.
     void resend(http_exchange& exchange, engine_run const& run, std::uint32_t from,
                 std::uint32_t until);
     static void send_done(http_exchange& exchange, engine_run const& run);
@@ -46,9 +46,9 @@
     /// \brief Closes the connections of one run.
     void cut(std::uint32_t run);
     void cut_all();
-    /// \brief Makes the open connections silent for good.
+    /// \brief Sends nothing more on the open connections and leaves them open.
     void silence();
-    /// \brief Does this to the next `count` token events.
+    /// \brief Injects `fault` into the next `count` token events.
     void inject(token_fault fault, std::uint32_t count) noexcept;
 
 private:
--- a/standins/token_text.hpp
+++ b/standins/token_text.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 
 /// \file
-/// \brief Texts of tokens, so that a reader of an answer can check every one of them.
+/// \brief Reproducible texts of tokens, so that a reader of an answer can check each token.
 
 namespace plumdale::standins
 {
--- a/tests/mutation.hpp
+++ b/tests/mutation.hpp
@@ -6,12 +6,13 @@
 #include <string_view>
 
 /// \file
-/// \brief Seeded damage to valid inputs.
+/// \brief Seeded mutation of valid inputs.
 
 namespace plumdale::test
 {
 
-/// \brief Returns `valid` with one to four bytes changed, removed, doubled or cut off after.
+/// \brief Returns `valid` after one to four changes: a byte replaced or removed, one to eight bytes
+/// duplicated, or the text truncated.
 [[nodiscard]] inline std::string mutate(std::string_view valid, std::uint64_t seed)
 {
     std::mt19937_64 random{seed};
--- a/tests/system/fleet.cpp
+++ b/tests/system/fleet.cpp
@@ -80,7 +80,7 @@
     std::string name = (std::filesystem::temp_directory_path() / "plumdale-XXXXXX").string();
     if (::mkdtemp(name.data()) == nullptr)
     {
-        throw std::runtime_error{"no folder for settings"};
+        throw std::runtime_error{"cannot create a directory for settings"};
     }
     folder_ = name;
     platform_program_ =
@@ -341,13 +341,13 @@
     {
         tokens.push_back({token.id, token.text});
     }
-    std::string const wrong = standins::check_answer(tokens, expected);
+    std::string const fault = standins::check_answer(tokens, expected);
     if (!result.failed)
     {
-        return wrong;
+        return fault;
     }
     return std::string{state::answer_for(result.failed->kind).name} + " (" + result.failed->detail +
-           ") " + wrong;
+           ") " + fault;
 }
 
 } // namespace plumdale::system_tests
--- a/tests/system/fleet.hpp
+++ b/tests/system/fleet.hpp
@@ -31,11 +31,11 @@
 {
     int entry_vms = 3;
     int engines = 2;
-    bool relays = false; ///< A relay before each engine.
+    bool relays = false; ///< A relay in front of each engine.
     std::vector<std::string> engine_args{"--token-ms", "5"};
 };
 
-/// \brief An engine, and the relay before it when there is one.
+/// \brief An engine, and the relay in front of it if there is one.
 struct engine_instance
 {
     std::unique_ptr<process> program;
@@ -54,7 +54,7 @@
     std::string datagram_address;
 };
 
-/// \brief What a caller saw.
+/// \brief The answer that a caller received, and its failure if there is one.
 struct caller_result
 {
     plumctl::generate_answer answer;
@@ -78,16 +78,16 @@
 
     /// \brief Starts one more entry VM and waits until it is ready; returns its number.
     std::size_t add_entry();
-    /// \brief Tells the platform of the upstreams and entry VMs that run now.
+    /// \brief Publishes the running upstreams and entry VMs to the platform.
     void publish_vm_list(boost::json::object const& leaving = {});
-    /// \brief Returns whether the entry VM says that it is ready.
+    /// \brief Returns whether the entry VM reports that it is ready.
     [[nodiscard]] bool ready(std::size_t number) const;
 
-    /// \brief Options for a caller that knows the entry VMs in this order.
+    /// \brief Returns options for a caller that tries the entry VMs in this order.
     [[nodiscard]] plumctl::generate_options caller(std::vector<std::size_t> const& entries,
                                                    std::string const& kind, int tokens) const;
 
-    /// \brief Returns every run of every engine that still answers, with `engine` added.
+    /// \brief Returns every run of every engine that still responds, with `engine` added.
     [[nodiscard]] boost::json::array runs() const;
     /// \brief Returns how often the engines ran an identity.
     [[nodiscard]] std::size_t runs_of(std::string const& generation) const;
@@ -116,10 +116,10 @@
     running_caller& operator=(running_caller const&) = delete;
     ~running_caller();
 
-    /// \brief Returns the number of tokens that have come so far.
+    /// \brief Returns the number of tokens received so far.
     [[nodiscard]] std::uint32_t tokens() const noexcept;
     [[nodiscard]] bool ended() const noexcept;
-    /// \brief Waits for the end and returns what the caller saw.
+    /// \brief Waits for the end and returns the caller's result.
     [[nodiscard]] caller_result const& finish();
 
 private:
@@ -129,10 +129,10 @@
     std::thread thread_;
 };
 
-/// \brief What `describe_fault` returns for an answer that is right.
+/// \brief What `describe_fault` returns for a correct answer.
 inline constexpr std::string_view no_fault{};
 
-/// \brief Returns what is wrong with an answer that should be whole, or an empty text.
+/// \brief Returns the fault in an answer that must be complete, or an empty text.
 [[nodiscard]] std::string describe_fault(caller_result const& result, std::uint32_t expected);
 
 } // namespace plumdale::system_tests
--- a/tests/system/process.cpp
+++ b/tests/system/process.cpp
@@ -49,18 +49,18 @@
 process::process(std::string const& program, std::vector<std::string> const& args)
 {
     std::string const path = std::string{PLUMDALE_BINARIES} + "/" + program;
-    std::array<int, 2> ends{};
-    if (::pipe2(ends.data(), O_CLOEXEC) != 0)
+    std::array<int, 2> pipe_ends{};
+    if (::pipe2(pipe_ends.data(), O_CLOEXEC) != 0)
     {
-        throw std::runtime_error{"no pipe"};
+        throw std::runtime_error{"cannot create a pipe"};
     }
     pid_ = ::fork();
     if (pid_ == 0)
     {
-        execute(path, args, ends[1]);
+        execute(path, args, pipe_ends[1]);
     }
-    ::close(ends[1]);
-    output_ = ends[0];
+    ::close(pipe_ends[1]);
+    output_ = pipe_ends[0];
 }
 
 process::~process()
@@ -111,7 +111,7 @@
     }
 }
 
-// The id of a process that was waited for may be another's by now.
+// After the exit code is collected, the id may belong to another process.
 void process::signal(int number) const
 {
     if (!code_)
--- a/tests/system/process.hpp
+++ b/tests/system/process.hpp
@@ -13,10 +13,10 @@
 namespace plumdale::system_tests
 {
 
-/// \brief Generous, so that a busy machine passes; what never comes fails loudly.
+/// \brief Long enough for a busy machine; a condition that is never met fails the test.
 inline constexpr std::chrono::seconds default_timeout{20};
 
-/// \brief Asks again and again until the condition holds; false when the bound has passed.
+/// \brief Polls the condition until it holds; returns false after the timeout.
 [[nodiscard]] bool eventually(std::function<bool()> const& condition,
                               std::chrono::milliseconds within = default_timeout);
 
@@ -28,15 +28,15 @@
     process(std::string const& program, std::vector<std::string> const& args);
     process(process const&) = delete;
     process& operator=(process const&) = delete;
-    /// \brief Kills what still runs.
+    /// \brief Kills the process if it still runs.
     ~process();
 
-    /// \brief Returns what follows `word` on the first line that begins with it; throws when the
-    /// output ends or the bound passes before.
+    /// \brief Returns what follows `word` on the first line that begins with it; throws if the
+    /// output ends or `default_timeout` passes first.
     [[nodiscard]] std::string line_after(std::string const& word);
     void signal(int number) const;
     /// \brief Returns the exit code once the process has ended (128 + signal when one ended it), or
-    /// no value when the bound has passed.
+    /// no value after the timeout.
     [[nodiscard]] std::optional<int> wait(std::chrono::milliseconds within = default_timeout);
     [[nodiscard]] bool running();
 
--- a/tests/system/test_drain.cpp
+++ b/tests/system/test_drain.cpp
@@ -9,9 +9,9 @@
 using namespace plumdale;
 using namespace plumdale::system_tests;
 
-// Callers with answers in flight get them whole while their entry VM shuts down. The balancer's
-// health check turns first; a new request is refused as not run, with a time to come back; a second
-// SIGTERM, as an impatient supervisor sends it, cuts nothing either.
+// Answers in flight must be delivered completely while their entry VM shuts down. The health check
+// that load balancers poll fails first, and a new request is refused as not run with a time to
+// retry. A second SIGTERM, which some supervisors send, must not cut an answer either.
 TEST_CASE("a graceful shutdown cuts no request in flight", "[system]")
 {
     int const signals = GENERATE(1, 2);
--- a/tests/system/test_engine_faults.cpp
+++ b/tests/system/test_engine_faults.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 
-// Waits until some tokens have come and returns the engine that makes them.
+// Waits until some tokens are received and returns the engine that generates them.
 std::size_t find_streaming_engine(fleet& deployment, running_caller& caller)
 {
-    constexpr std::uint32_t some = 20;
-    REQUIRE(eventually([&] { return caller.tokens() >= some; }));
+    constexpr std::uint32_t min_tokens = 20;
+    REQUIRE(eventually([&] { return caller.tokens() >= min_tokens; }));
     for (boost::json::value const& run : deployment.runs())
     {
         if (run.at("state").as_string() == "running")
@@ -31,9 +31,9 @@
 
 } // namespace
 
-// The caller of a billed draft sees tokens, and then that the answer broke off. The engine is
-// killed in the middle, so the rest exists nowhere; a second engine must not make it again, since
-// the draft would be billed twice and its tokens would not fit those already shown.
+// An engine is killed in the middle of a billed draft, and the rest of the answer is lost. A second
+// engine must not run the draft again: it would be billed twice, and its tokens would not match
+// those already sent. The caller receives the tokens so far and a failure.
 TEST_CASE("a draft whose engine dies is never run again", "[system]")
 {
     fleet deployment{fleet_shape{}};
@@ -50,8 +50,8 @@
     CHECK(deployment.runs().empty());
 }
 
-// The caller of a question waits for its first token. Its engine is frozen before it made one, so
-// nothing was shown and the question may be repeated: another engine answers it whole.
+// An engine freezes before it generates the first token of a question. No token was sent to the
+// caller, so the question may be repeated: another engine must answer it completely.
 TEST_CASE("questions sent to a frozen engine are answered by another", "[system]")
 {
     fleet deployment{fleet_shape{}};
@@ -71,9 +71,9 @@
     deployment.engine(0).program->signal(SIGCONT);
 }
 
-// The caller of a draft sees a pause. The engine is frozen and goes on later; its tokens come from
-// the same run, each once.
-TEST_CASE("a draft goes on when its frozen engine wakes", "[system]")
+// An engine freezes during a draft and resumes later. After the pause the caller must receive the
+// rest from the same run, each token once.
+TEST_CASE("a draft continues when its frozen engine wakes", "[system]")
 {
     fleet deployment{fleet_shape{}};
     running_caller caller{deployment.caller({0, 1}, "draft", 200)};
@@ -87,9 +87,9 @@
     CHECK(deployment.runs_of(result.answer.generation) == 1);
 }
 
-// The caller sees its own tokens only. For a while the engine sends garbage, a wrong index, another
-// identity or a token twice; none of that may reach the caller, and the answer is resumed.
-TEST_CASE("what an engine sends wrongly never reaches the caller", "[system]")
+// An engine sends two faulty token events: garbage, a wrong index, another identity or a token
+// twice. None of them may reach the caller, and the answer must be resumed.
+TEST_CASE("faulty tokens from an engine never reach the caller", "[system]")
 {
     std::string const fault = GENERATE("garbage", "wrong_index", "wrong_identity", "duplicate");
     CAPTURE(fault);
@@ -103,8 +103,8 @@
     CHECK(deployment.runs_of(result.answer.generation) == 1);
 }
 
-// Operators see an engine leaving in the platform's list while questions keep coming. Two seconds
-// later it must get no new work, or what it runs is lost when it is reclaimed.
+// The platform's list marks an engine as leaving while questions arrive. From two seconds later it
+// must get no new work, which would be lost when the engine is reclaimed.
 TEST_CASE("a leaving engine gets no new work after two seconds", "[system]")
 {
     fleet deployment{fleet_shape{}};
--- a/tests/system/test_entry_faults.cpp
+++ b/tests/system/test_entry_faults.cpp
@@ -11,9 +11,9 @@
 using namespace plumdale::system_tests;
 using namespace std::chrono_literals;
 
-// The caller of a billed draft loses its entry VM in the middle and attaches through another one by
-// identity. The engine still runs the stream, so the rest is read from there and nothing runs
-// twice.
+// An entry VM dies in the middle of a billed draft, and the caller attaches by identity through
+// another one. The engine still runs the stream, so the rest must be read from there and nothing
+// may run twice.
 TEST_CASE("a draft survives the death of its entry VM", "[system]")
 {
     fleet deployment{fleet_shape{}};
@@ -26,8 +26,9 @@
     CHECK(deployment.runs_of(result.answer.generation) == 1);
 }
 
-// The caller's entry VM freezes in the middle; the caller gives up on it and attaches elsewhere.
-// The frozen one wakes and still believes that it owns the stream: it must not start it again.
+// An entry VM freezes in the middle of a draft, and the caller times out and attaches through
+// another one. When the frozen VM wakes, its state still says that it owns the stream: it must not
+// start it again.
 TEST_CASE("an entry VM that freezes and wakes runs nothing twice", "[system]")
 {
     fleet deployment{fleet_shape{}};
@@ -45,10 +46,10 @@
     CHECK(deployment.runs_of(result.answer.generation) == 1);
 }
 
-// A caller's client sends its billed draft again, through another entry VM and under the same key,
-// while the first attempt still runs. The second reads the first one's stream from its beginning
-// and takes its place; nothing runs twice. Entry VMs that have just started refuse keys as not run
-// for some seconds; the client comes back, as it is told to.
+// A client repeats a billed draft through another entry VM under the same key while the first
+// attempt still runs. The second attempt must read the first one's stream from its beginning and
+// supersede it; nothing may run twice. Entry VMs that have just started refuse keys as not run for
+// some seconds, so the first attempt is retried until it runs.
 TEST_CASE("a repeat under the same key runs nothing", "[system]")
 {
     fleet deployment{fleet_shape{}};
@@ -87,7 +88,7 @@
 }
 
 // All entry VMs are replaced one by one, as in a rollout: each drains while drafts run through it,
-// and a new one joins. No answer is cut, and none runs twice.
+// and a new one joins. No answer may be cut or run twice.
 TEST_CASE("a rolling replacement of all entry VMs cuts no answer", "[system]")
 {
     fleet deployment{fleet_shape{}};
--- a/tests/system/test_fleet_summary.cpp
+++ b/tests/system/test_fleet_summary.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("a fleet of hundreds is a row for each zone", "[fleet_page]")
+TEST_CASE("a fleet of hundreds is summarized in one row per zone", "[fleet_summary]")
 {
     auto const rows = summarize_zones(fleet());
     REQUIRE(rows.size() == 2);
@@ -49,8 +49,9 @@
     CHECK(lagging_entries(fleet(), 10).empty());
 }
 
-// An operator's new configuration is in force at all VMs but two; one of these is not ready either.
-TEST_CASE("those that lag are named, worst first", "[fleet_page]")
+// Two VMs lack the new configuration, one of them is also not ready, and a third has a deviating
+// directory. The one that is not ready must come first, the deviating directory last.
+TEST_CASE("lagging entry VMs are listed, worst first", "[fleet_summary]")
 {
     std::vector<entry_status> entries = fleet();
     entries[40].configuration = 29;
@@ -69,7 +70,7 @@
     CHECK(rows[1].ready == 146);
 }
 
-TEST_CASE("no entry VM is no row", "[fleet_page]")
+TEST_CASE("a fleet without entry VMs has no rows", "[fleet_summary]")
 {
     CHECK(summarize_zones({}).empty());
     CHECK(lagging_entries({}, 10).empty());
--- a/tests/system/test_link_faults.cpp
+++ b/tests/system/test_link_faults.cpp
@@ -7,11 +7,10 @@
 using namespace plumdale::system_tests;
 namespace json = boost::json;
 
-// The caller sees at most a short pause. The connection between entry VM and engine is cut, stalls,
-// or stays open and swallows everything while new connections work. The entry VM notices that
-// tokens fail to come and reads on from the next index over a new connection: a resume runs
-// nothing.
-TEST_CASE("a stream goes on over a new connection", "[system]")
+// The connection between entry VM and engine is cut, stalls, or stays open and discards everything
+// while new connections work. The entry VM must detect the missing tokens and resume from the next
+// index over a new connection, without a second run. The caller notices at most a short pause.
+TEST_CASE("a stream continues over a new connection", "[system]")
 {
     json::object const fault =
         GENERATE(json::object{{"cut", true}}, json::object{{"open", "stall"}},
@@ -31,9 +30,9 @@
     CHECK(deployment.runs_of(result.answer.generation) == 1);
 }
 
-// The caller of a question is told "not run" with a time to come back: the only engine's port
-// refuses connections, so nothing can have been sent.
-TEST_CASE("a refusal as not run is true when no engine can be reached", "[system]")
+// The port of the only engine refuses connections, so no request can have been sent. The caller
+// must get a failure without tokens, and nothing may have run.
+TEST_CASE("a request fails without a run when no engine can be reached", "[system]")
 {
     fleet_shape shape;
     shape.engines = 1;
--- a/tests/system/test_platform_faults.cpp
+++ b/tests/system/test_platform_faults.cpp
@@ -17,7 +17,7 @@
     return {{"Authorization", std::string{"Bearer "} + key}};
 }
 
-// The preset in force as an entry VM says it, or an empty text.
+// Returns the preset that an entry VM reports as in force, or an empty text.
 std::string in_force(fleet& deployment, std::size_t entry)
 {
     answer const got = request(deployment.entry(entry).address, "GET", "/admin/status", "",
@@ -55,7 +55,7 @@
 
 } // namespace
 
-// Operators publish a switch and see it in force at every entry VM.
+// A switch published on the platform must come into force on every entry VM.
 TEST_CASE("a published switch comes into force everywhere", "[system]")
 {
     fleet deployment{fleet_shape{}};
@@ -64,8 +64,8 @@
     CHECK(eventually([&] { return in_force_everywhere(deployment, "peak"); }));
 }
 
-// An operator of the configuration asks for the status. Known to the switch alone, as it was, that
-// operator could change the preset and not see whether it is in force.
+// Operators listed only in the configuration must be able to read the status. When only the switch
+// accepted their keys, they could change the preset but not see whether it was in force.
 TEST_CASE("operators of the configuration read the status, strangers do not", "[system]")
 {
     fleet deployment{fleet_shape{1, 1}};
@@ -80,9 +80,9 @@
     CHECK(status_with("a stranger's key") == 403);
 }
 
-// The platform is down when an operator must switch. One entry VM takes the switch, the others hear
-// of it from it; callers are served all the while. The platform comes back with its older switch,
-// which loses everywhere.
+// An operator switches the preset while the platform is down. One entry VM accepts the switch and
+// the others receive it from there, while callers are served. The platform returns with its older
+// switch, which must not replace the newer one on any entry VM.
 TEST_CASE("a switch made while the platform is down is kept when it returns", "[system]")
 {
     fleet deployment{fleet_shape{}};
@@ -102,9 +102,9 @@
     CHECK(in_force_everywhere(deployment, "peak"));
 }
 
-// The platform shows old values for long. An entry VM that starts now, with no memory, must not
-// serve with what it reads there: its peers hold the newer switch.
-TEST_CASE("an empty entry VM believes its peers rather than a stale platform", "[system]")
+// The platform serves stale values. An entry VM that starts now, without state, must not use the
+// switch that it reads there: its peers hold a newer one.
+TEST_CASE("a new entry VM uses the switch of its peers rather than of a stale platform", "[system]")
 {
     fleet deployment{fleet_shape{}};
     CHECK(eventually([&] { return in_force_everywhere(deployment, "ordinary"); }));
--- a/tests/system/test_plumctl.cpp
+++ b/tests/system/test_plumctl.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("each command explains itself", "[plumctl]")
+TEST_CASE("each command prints its help", "[plumctl]")
 {
     std::string const command =
         GENERATE("check", "status", "preset", "generate", "drain", "report");
--- a/tests/system/test_services.cpp
+++ b/tests/system/test_services.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-// The caller of a plain service sees its answer whole, and the service ran the call once.
+// The caller must receive the service's answer, and the service must run the call once.
 TEST_CASE("a call to a plain service is passed through", "[system]")
 {
     fleet deployment{fleet_shape{}};
@@ -41,8 +41,8 @@
     CHECK(calls(deployment) == 1);
 }
 
-// The service runs the call and the connection breaks before its answer. A billed call may have
-// run, so the caller is told just that and it isn't sent again.
+// The service runs the call, and the connection breaks before its answer. The call may have run, so
+// it must be reported as such and not be sent again, or it would be billed twice.
 TEST_CASE("a call that may have run is not sent again", "[system]")
 {
     fleet deployment{fleet_shape{}};
@@ -53,9 +53,9 @@
     CHECK(calls(deployment) == 1);
 }
 
-// The service says that it did not run the call. The caller is told "not run", which its record
-// confirms.
-TEST_CASE("a call that a service refused is told as not run", "[system]")
+// The service reports that it did not run the call. The caller must receive the claim "not_run",
+// and the service's record must show no call.
+TEST_CASE("a call that a service refused is reported as not run", "[system]")
 {
     fleet deployment{fleet_shape{}};
     control(deployment.service(), {{"refuse", true}});
--- a/tests/system/test_standins.cpp
+++ b/tests/system/test_standins.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("an engine that fills up preempts and recomputes, and every answer is whole",
+TEST_CASE("an engine out of memory preempts and recomputes, and every answer is complete",
           "[standins]")
 {
     process engine{"plumdale-standins", {"engine", "--token-ms", "0.1", "--blocks", "40"}};
@@ -72,7 +72,7 @@
     CHECK(eventually([&] { return get(address, "/v1/load").at("preemptions").as_int64() > 0; }));
 }
 
-TEST_CASE("a stream goes on without its reader and is resumed from any index", "[standins]")
+TEST_CASE("a finished stream can be read from any index", "[standins]")
 {
     process engine{"plumdale-standins", {"engine", "--token-ms", "0.1"}};
     std::string const address = engine.line_after("listening");
@@ -108,7 +108,7 @@
     }
 }
 
-TEST_CASE("a prefix is stored once, and room for a larger answer evicts it", "[standins]")
+TEST_CASE("a prefix is stored once, and a larger answer evicts it", "[standins]")
 {
     process engine{"plumdale-standins",
                    {"engine", "--token-ms", "0.1", "--blocks", "40", "--cache-blocks", "10"}};
@@ -129,7 +129,8 @@
         }));
 }
 
-TEST_CASE("a platform that is down cuts, and a stale one shows old values", "[standins]")
+TEST_CASE("a platform that is down closes connections, and a stale one returns old values",
+          "[standins]")
 {
     process platform{"plumdale-standins", {"platform"}};
     std::string const address = platform.line_after("listening");
--- a/tests/system/web.hpp
+++ b/tests/system/web.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 /// \file
-/// \brief HTTP for the tests, towards stand-ins and entry VMs.
+/// \brief HTTP client of the tests, for stand-ins and entry VMs.
 
 namespace plumdale::system_tests
 {
@@ -28,7 +28,7 @@
                              std::chrono::milliseconds idle = default_timeout,
                              std::vector<std::pair<std::string, std::string>> headers = {});
 
-/// \brief Returns the object that a GET answers; throws when it answers none.
+/// \brief Returns the object in the response to a GET; throws if the status is not 200.
 [[nodiscard]] boost::json::object get(std::string const& address, std::string const& target);
 
 /// \brief Commands a stand-in; returns the number of connections that a relay has open, else zero.
