--- a/standins/engine_model.hpp
+++ b/standins/engine_model.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 /// \file
-/// \brief How an engine batches, fills its memory and preempts; no I/O and no clock.
+/// \brief Model of an engine's batching, memory and preemption, without I/O or a clock.
 
 namespace plumdale::standins
 {
@@ -24,10 +24,10 @@
     std::uint32_t blocks_total = 2'000;
     std::uint32_t block_tokens = 16;
     std::uint32_t max_batch = 48;
-    /// \brief A step takes `step + running * step_each + prefilled * prefill_each`.
+    /// \brief A step takes `step + running * step_per_sequence + prefilled * prefill_per_token`.
     std::chrono::microseconds step{5'000};
-    std::chrono::microseconds step_each{100};
-    std::chrono::microseconds prefill_each{20};
+    std::chrono::microseconds step_per_sequence{100};
+    std::chrono::microseconds prefill_per_token{20};
     std::uint32_t cache_blocks = 500;
 };
 
@@ -38,7 +38,7 @@
     std::string kind;
     std::string prompt;
     std::uint32_t max_tokens = 0;
-    /// \brief Greater is more urgent.
+    /// \brief A greater value is more urgent.
     std::int32_t priority = 0;
 };
 
@@ -50,7 +50,7 @@
     cancelled
 };
 
-/// \brief One run of an identity. Starting an identity twice makes two.
+/// \brief One run of an identity. Starting an identity twice makes two runs.
 struct engine_run
 {
     std::uint32_t number = 0;
@@ -67,7 +67,7 @@
     std::vector<std::uint64_t> prefix;
 };
 
-/// \brief A token that a step made, or the end of a run.
+/// \brief A token that a step generated, or the end of a run.
 struct step_output
 {
     std::uint32_t run = 0;
@@ -77,7 +77,7 @@
 
 struct engine_step
 {
-    std::chrono::microseconds took{0};
+    std::chrono::microseconds duration{0};
     std::vector<step_output> outputs;
 };
 
@@ -90,7 +90,8 @@
     std::uint64_t preemptions = 0;
 };
 
-/// \brief Returns the answer's length: `[tokens=N]` in the prompt, else a seeded function of it.
+/// \brief Returns the answer's length in tokens: N if the prompt contains `[tokens=N]`, else a
+/// random number seeded by the prompt.
 [[nodiscard]] std::uint32_t answer_length(stream_request const& request);
 
 /// \brief Continuous batching over memory in blocks, with preemption by recompute.
@@ -103,7 +104,7 @@
     std::uint32_t start(stream_request const& request);
     /// \brief Cancels the newest run of an identity; returns it, or null when there is none.
     engine_run const* cancel(std::string_view generation);
-    /// \brief Does one step; nothing runs when it took no time.
+    /// \brief Runs one step; its duration is zero if no sequence is running.
     engine_step step();
 
     [[nodiscard]] bool idle() const noexcept;
@@ -115,17 +116,17 @@
 
 private:
     [[nodiscard]] std::uint32_t blocks_for(std::uint32_t tokens) const noexcept;
-    bool take_blocks(std::uint32_t count);
+    bool allocate_blocks(std::uint32_t count);
     std::uint32_t admit();
-    bool grow(std::uint32_t number);
+    bool reserve_next_token(std::uint32_t number);
     void preempt(std::uint32_t number);
-    void release(engine_run& run);
+    void release_blocks(engine_run& run);
     void enqueue(std::uint32_t number);
 
     engine_settings settings_;
     prefix_cache cache_;
     std::vector<engine_run> runs_;
-    std::unordered_map<std::string, std::uint32_t> newest_;
+    std::unordered_map<std::string, std::uint32_t> latest_run_;
     std::deque<std::uint32_t> waiting_;
     std::vector<std::uint32_t> running_;
     std::uint32_t blocks_used_ = 0;
--- a/standins/engine_orders.hpp
+++ b/standins/engine_orders.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 /// \file
-/// \brief Orders that an engine takes: role, version and adapter.
+/// \brief Orders that an engine accepts: role, version and adapter.
 
 namespace plumdale::standins
 {
@@ -21,28 +21,31 @@
     std::string adapter;
 };
 
-/// \brief The order in force and those before it, with or without a check of the fence.
+/// \brief The order in force and all accepted orders, with or without a check of the fence.
 class engine_orders
 {
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
     /// \brief Loading another version or adapter takes `load` each time.
-    engine_orders(bool fences, std::chrono::milliseconds load) : fences_{fences}, load_{load} {}
-
-    /// \brief Returns false, and changes nothing, when the fence is old and is checked.
-    bool take(engine_order const& order, time_point now);
-    /// \brief Returns whether new work of this kind is taken now.
+    engine_orders(bool fences, std::chrono::milliseconds load)
+        : checks_fence_{fences}, load_time_{load}
+    {
+    }
+
+    /// \brief Returns false and changes nothing if fences are checked and the order's is older.
+    bool apply(engine_order const& order, time_point now);
+    /// \brief Returns whether new work of this kind is accepted now.
     [[nodiscard]] bool serves(std::string const& kind, time_point now) const;
     [[nodiscard]] std::string text() const;
     [[nodiscard]] boost::json::array record() const;
 
 private:
-    bool fences_;
-    std::chrono::milliseconds load_;
+    bool checks_fence_;
+    std::chrono::milliseconds load_time_;
     engine_order in_force_;
-    std::vector<engine_order> taken_;
-    time_point loaded_{};
+    std::vector<engine_order> accepted_;
+    time_point loaded_at_{};
 };
 
 } // namespace plumdale::standins
--- a/standins/http_server.cpp
+++ b/standins/http_server.cpp
@@ -36,9 +36,9 @@
     http_request to;
     to.method = from.method_string();
     std::string const target{from.target()};
-    std::size_t const mark = target.find('?');
-    to.path = target.substr(0, mark);
-    to.query = mark == std::string::npos ? std::string{} : target.substr(mark + 1);
+    std::size_t const query_start = target.find('?');
+    to.path = target.substr(0, query_start);
+    to.query = query_start == std::string::npos ? std::string{} : target.substr(query_start + 1);
     for (auto const& field : from)
     {
         to.headers.emplace_back(lower(field.name_string()), std::string{field.value()});
@@ -72,7 +72,7 @@
 
 class session;
 
-/// One request's exchange; holds the session while the handler holds it.
+/// One request's exchange; keeps the session alive while the handler holds it.
 class session_exchange final : public http_exchange
 {
 public:
@@ -87,7 +87,7 @@
     void send(std::string text) override;
     void finish() override;
     void cut() override;
-    [[nodiscard]] bool gone() const noexcept override;
+    [[nodiscard]] bool is_closed() const noexcept override;
 
 private:
     std::shared_ptr<session> owner_;
@@ -115,7 +115,7 @@
 
     void write(std::string text, bool last)
     {
-        if (gone_)
+        if (closed_)
         {
             return;
         }
@@ -129,14 +129,14 @@
 
     void close()
     {
-        gone_ = true;
+        closed_ = true;
         error_code ignored;
         socket_.close(ignored);
     }
 
-    [[nodiscard]] bool gone() const noexcept
+    [[nodiscard]] bool is_closed() const noexcept
     {
-        return gone_;
+        return closed_;
     }
 
 private:
@@ -149,30 +149,30 @@
             return;
         }
         http_request const request = decode(parser_->release());
-        watch_for_end();
+        watch_for_close();
         handler_(request, std::make_shared<session_exchange>(shared_from_this()));
     }
 
-    // A caller that leaves in the middle of an answer is seen only by reading.
-    void watch_for_end()
+    // A caller that disconnects during a response is noticed only by reading from the socket.
+    void watch_for_close()
     {
         socket_.async_wait(tcp::socket::wait_read,
                            [self = shared_from_this()](error_code failed)
                            {
                                if (!failed && !self->reading_body_)
                                {
-                                   self->look_for_end();
+                                   self->check_for_close();
                                }
                            });
     }
 
-    void look_for_end()
+    void check_for_close()
     {
         error_code failed;
         std::array<char, 1> peeked{};
-        std::size_t const got =
+        std::size_t const size =
             socket_.receive(asio::buffer(peeked), tcp::socket::message_peek, failed);
-        if (failed || got == 0)
+        if (failed || size == 0)
         {
             close();
         }
@@ -216,7 +216,7 @@
     std::deque<std::string> queue_;
     bool writing_ = false;
     bool last_queued_ = false;
-    bool gone_ = false;
+    bool closed_ = false;
     bool reading_body_ = false;
 };
 
@@ -263,9 +263,9 @@
     owner_->close();
 }
 
-bool session_exchange::gone() const noexcept
+bool session_exchange::is_closed() const noexcept
 {
-    return owner_->gone();
+    return owner_->is_closed();
 }
 
 } // namespace
--- a/tests/system/test_link_faults.cpp
+++ b/tests/system/test_link_faults.cpp
@@ -7,11 +7,10 @@
 using namespace plumdale::system_tests;
 namespace json = boost::json;
 
-// The caller sees at most a short pause. The connection between entry VM and engine is cut, stalls,
-// or stays open and swallows everything while new connections work. The entry VM notices that
-// tokens fail to come and reads on from the next index over a new connection: a resume runs
-// nothing.
-TEST_CASE("a stream goes on over a new connection", "[system]")
+// The connection between entry VM and engine is cut, stalls, or stays open and discards everything
+// while new connections work. The entry VM must detect the missing tokens and resume from the next
+// index over a new connection, without a second run. The caller notices at most a short pause.
+TEST_CASE("a stream continues over a new connection", "[system]")
 {
     json::object const fault =
         GENERATE(json::object{{"cut", true}}, json::object{{"open", "stall"}},
@@ -21,32 +20,32 @@
     shape.engines = 1;
     shape.entry_vms = 1;
     shape.relays = true;
-    fleet all{shape};
-    running_caller caller{all.caller({0}, "draft", 300)};
+    fleet deployment{shape};
+    running_caller caller{deployment.caller({0}, "draft", 300)};
     REQUIRE(eventually([&] { return caller.tokens() >= 20; }));
-    control(all.engine(0).relay_controls, fault);
-    caller_view const& view = caller.finish();
-    CHECK(fault_in(view, 300) == no_fault);
-    CHECK(view.answer.attachments == 0);
-    CHECK(all.runs_of(view.answer.generation) == 1);
+    control(deployment.engine(0).relay_control_address, fault);
+    caller_result const& result = caller.finish();
+    CHECK(describe_fault(result, 300) == no_fault);
+    CHECK(result.answer.attachments == 0);
+    CHECK(deployment.runs_of(result.answer.generation) == 1);
 }
 
-// The caller of a question is told "not run" with a time to come back: the only engine's port
-// refuses connections, so nothing can have been sent.
-TEST_CASE("a refusal as not run is true when no engine can be reached", "[system]")
+// The port of the only engine refuses connections, so no request can have been sent. The caller
+// must get a failure without tokens, and nothing may have run.
+TEST_CASE("a request fails without a run when no engine can be reached", "[system]")
 {
     fleet_shape shape;
     shape.engines = 1;
     shape.entry_vms = 1;
     shape.relays = true;
-    fleet all{shape};
-    control(all.engine(0).relay_controls, {{"refuse", true}, {"cut", true}});
-    auto options = all.caller({0}, "draft", 10);
+    fleet deployment{shape};
+    control(deployment.engine(0).relay_control_address, {{"refuse", true}, {"cut", true}});
+    auto options = deployment.caller({0}, "draft", 10);
     options.attach_timeout = std::chrono::seconds{1};
     running_caller caller{options};
-    caller_view const& view = caller.finish();
-    REQUIRE(view.failed);
-    INFO(fault_in(view, 10));
-    CHECK(view.answer.tokens.empty());
-    CHECK(all.runs().empty());
+    caller_result const& result = caller.finish();
+    REQUIRE(result.failed);
+    INFO(describe_fault(result, 10));
+    CHECK(result.answer.tokens.empty());
+    CHECK(deployment.runs().empty());
 }
--- a/tests/system/test_platform_faults.cpp
+++ b/tests/system/test_platform_faults.cpp
@@ -12,16 +12,16 @@
 namespace
 {
 
-std::vector<std::pair<std::string, std::string>> as_operator(char const* key = operator_key)
+std::vector<std::pair<std::string, std::string>> operator_headers(char const* key = operator_key)
 {
     return {{"Authorization", std::string{"Bearer "} + key}};
 }
 
-// The preset in force as an entry VM says it, or an empty text.
-std::string in_force(fleet& all, std::size_t entry)
+// Returns the preset that an entry VM reports as in force, or an empty text.
+std::string in_force(fleet& deployment, std::size_t entry)
 {
-    answer const got = request(all.entry(entry).address, "GET", "/admin/status", "",
-                               std::chrono::seconds{1}, as_operator());
+    answer const got = request(deployment.entry(entry).address, "GET", "/admin/status", "",
+                               std::chrono::seconds{1}, operator_headers());
     if (got.status != 200)
     {
         return {};
@@ -29,11 +29,11 @@
     return std::string{json::parse(got.body).at("in_force").at("preset").as_string()};
 }
 
-bool in_force_everywhere(fleet& all, std::string const& preset)
+bool in_force_everywhere(fleet& deployment, std::string const& preset)
 {
-    for (std::size_t i = 0; i < all.entry_count(); ++i)
+    for (std::size_t i = 0; i < deployment.entry_count(); ++i)
     {
-        if (all.entry(i).program->running() && in_force(all, i) != preset)
+        if (deployment.entry(i).program->running() && in_force(deployment, i) != preset)
         {
             return false;
         }
@@ -41,36 +41,38 @@
     return true;
 }
 
-void publish_switch(fleet& all, std::string const& preset)
+void publish_switch(fleet& deployment, std::string const& preset)
 {
-    control(all.platform(), {{"config", {{"switch", {{"preset", preset}}}}}});
+    control(deployment.platform(), {{"config", {{"switch", {{"preset", preset}}}}}});
 }
 
-answer operator_switch(fleet& all, std::size_t entry, std::string const& preset)
+answer operator_switch(fleet& deployment, std::size_t entry, std::string const& preset)
 {
-    return request(all.entry(entry).address, "POST", "/admin/preset",
-                   json::serialize(json::object{{"preset", preset}}), bound, as_operator());
+    return request(deployment.entry(entry).address, "POST", "/admin/preset",
+                   json::serialize(json::object{{"preset", preset}}), default_timeout,
+                   operator_headers());
 }
 
 } // namespace
 
-// Operators publish a switch and see it in force at every entry VM.
+// A switch published on the platform must come into force on every entry VM.
 TEST_CASE("a published switch comes into force everywhere", "[system]")
 {
-    fleet all{fleet_shape{}};
-    CHECK(eventually([&] { return in_force_everywhere(all, "ordinary"); }));
-    publish_switch(all, "peak");
-    CHECK(eventually([&] { return in_force_everywhere(all, "peak"); }));
+    fleet deployment{fleet_shape{}};
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "ordinary"); }));
+    publish_switch(deployment, "peak");
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "peak"); }));
 }
 
-// An operator of the configuration asks for the status. Known to the switch alone, as it was, that
-// operator could change the preset and not see whether it is in force.
+// Operators listed only in the configuration must be able to read the status. When only the switch
+// accepted their keys, they could change the preset but not see whether it was in force.
 TEST_CASE("operators of the configuration read the status, strangers do not", "[system]")
 {
-    fleet all{fleet_shape{1, 1}};
+    fleet deployment{fleet_shape{1, 1}};
     auto const status_with = [&](char const* key)
     {
-        return request(all.entry(0).address, "GET", "/admin/status", "", bound, as_operator(key))
+        return request(deployment.entry(0).address, "GET", "/admin/status", "", default_timeout,
+                       operator_headers(key))
             .status;
     };
     CHECK(status_with(operator_key) == 200);
@@ -78,36 +80,37 @@
     CHECK(status_with("a stranger's key") == 403);
 }
 
-// The platform is down when an operator must switch. One entry VM takes the switch, the others hear
-// of it from it; callers are served all the while. The platform comes back with its older switch,
-// which loses everywhere.
+// An operator switches the preset while the platform is down. One entry VM accepts the switch and
+// the others receive it from there, while callers are served. The platform returns with its older
+// switch, which must not replace the newer one on any entry VM.
 TEST_CASE("a switch made while the platform is down is kept when it returns", "[system]")
 {
-    fleet all{fleet_shape{}};
-    CHECK(eventually([&] { return in_force_everywhere(all, "ordinary"); }));
-    control(all.platform(), {{"down", true}});
-    answer const switched = operator_switch(all, 0, "peak");
+    fleet deployment{fleet_shape{}};
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "ordinary"); }));
+    control(deployment.platform(), {{"down", true}});
+    answer const switched = operator_switch(deployment, 0, "peak");
     INFO(switched.body);
     CHECK(switched.status == 200);
-    CHECK(eventually([&] { return in_force_everywhere(all, "peak"); }));
-    running_caller question{all.caller({2}, "question", 10)};
-    CHECK(fault_in(question.finish(), 10) == no_fault);
-    control(all.platform(), {{"down", false}});
-    std::int64_t const calls = get(all.platform(), "/v1/record").at("calls").as_int64();
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "peak"); }));
+    running_caller question{deployment.caller({2}, "question", 10)};
+    CHECK(describe_fault(question.finish(), 10) == no_fault);
+    control(deployment.platform(), {{"down", false}});
+    std::int64_t const calls = get(deployment.platform(), "/v1/record").at("calls").as_int64();
     CHECK(eventually(
-        [&] { return get(all.platform(), "/v1/record").at("calls").as_int64() > calls + 10; }));
-    CHECK(in_force_everywhere(all, "peak"));
+        [&]
+        { return get(deployment.platform(), "/v1/record").at("calls").as_int64() > calls + 10; }));
+    CHECK(in_force_everywhere(deployment, "peak"));
 }
 
-// The platform shows old values for long. An entry VM that starts now, with no memory, must not
-// serve with what it reads there: its peers hold the newer switch.
-TEST_CASE("an empty entry VM believes its peers rather than a stale platform", "[system]")
+// The platform serves stale values. An entry VM that starts now, without state, must not use the
+// switch that it reads there: its peers hold a newer one.
+TEST_CASE("a new entry VM uses the switch of its peers rather than of a stale platform", "[system]")
 {
-    fleet all{fleet_shape{}};
-    CHECK(eventually([&] { return in_force_everywhere(all, "ordinary"); }));
-    control(all.platform(), {{"stale", true}});
-    CHECK(operator_switch(all, 1, "peak").status == 200);
-    CHECK(eventually([&] { return in_force_everywhere(all, "peak"); }));
-    std::size_t const added = all.add_entry();
-    CHECK(in_force(all, added) == "peak");
+    fleet deployment{fleet_shape{}};
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "ordinary"); }));
+    control(deployment.platform(), {{"stale", true}});
+    CHECK(operator_switch(deployment, 1, "peak").status == 200);
+    CHECK(eventually([&] { return in_force_everywhere(deployment, "peak"); }));
+    std::size_t const added = deployment.add_entry();
+    CHECK(in_force(deployment, added) == "peak");
 }
--- a/tests/system/web.hpp
+++ b/tests/system/web.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 /// \file
-/// \brief HTTP for the tests, towards stand-ins and entry VMs.
+/// \brief HTTP client of the tests, for stand-ins and entry VMs.
 
 namespace plumdale::system_tests
 {
@@ -25,10 +25,10 @@
 
 [[nodiscard]] answer request(std::string const& address, std::string const& method,
                              std::string const& target, std::string const& body,
-                             std::chrono::milliseconds idle = bound,
+                             std::chrono::milliseconds idle = default_timeout,
                              std::vector<std::pair<std::string, std::string>> headers = {});
 
-/// \brief Returns the object that a GET answers; throws when it answers none.
+/// \brief Returns the object in the response to a GET; throws if the status is not 200.
 [[nodiscard]] boost::json::object get(std::string const& address, std::string const& target);
 
 /// \brief Commands a stand-in; returns the number of connections that a relay has open, else zero.
