--- a/bench/control_cost.cpp
+++ b/bench/control_cost.cpp
@@ -27,7 +27,7 @@
 
 constexpr std::array<fleet_size, 4> sizes{{{9, 3}, {27, 3}, {100, 7}, {380, 14}}};
 /// \brief After this the news of a fleet that started all at once has been told often enough.
-constexpr state::duration settled = 60s;
+constexpr state::duration settling_time = 60s;
 
 [[nodiscard]] double seconds(state::duration time)
 {
@@ -96,7 +96,7 @@
     publish_base_configuration(loop);
     add_upstreams(loop, given.upstreams, given.size.zones);
     add_customers(loop, given.customers);
-    loop.run_for(settled);
+    loop.run_for(settling_time);
     for (node_model& node : loop.nodes())
     {
         node.bytes = 0;
--- a/bench/length_score.cpp
+++ b/bench/length_score.cpp
@@ -14,8 +14,8 @@
 
 using namespace plumdale;
 
-constexpr double more = 560.0;
-constexpr std::uint32_t every = 200;
+constexpr double additional_tokens = 560.0;
+constexpr std::uint32_t sample_interval_tokens = 200;
 
 struct score
 {
@@ -50,12 +50,12 @@
             std::lognormal_distribution<double> draw{i < 300 ? 6.7 : 7.8, 0.7};
             auto const length = static_cast<std::uint32_t>(draw(random)) + 1;
             int const phase = (i < 300 ? 0 : 2) + (i % 300 < 30 ? 0 : 1);
-            for (std::uint32_t so_far = 0; so_far < length; so_far += every)
+            for (std::uint32_t so_far = 0; so_far < length; so_far += sample_interval_tokens)
             {
-                double const truth = length > so_far + more ? 1.0 : 0.0;
+                double const truth = length > so_far + additional_tokens ? 1.0 : 0.0;
                 // Knowing the mean only: exponential lengths, the same chance at every token.
-                double const by_mean = i == 0 ? 0.5 : std::exp(-more / (sum / i));
-                double const ours = lengths.survival(estimate, so_far, more);
+                double const by_mean = i == 0 ? 0.5 : std::exp(-additional_tokens / (sum / i));
+                double const ours = lengths.survival(estimate, so_far, additional_tokens);
                 phases[phase].ours += (ours - truth) * (ours - truth);
                 phases[phase].mean += (by_mean - truth) * (by_mean - truth);
                 phases[phase].nothing += 0.25;
--- a/bench/ownership_cost.cpp
+++ b/bench/ownership_cost.cpp
@@ -43,7 +43,7 @@
     std::printf("| %s | %.1f %s |\n", what, value, unit);
 }
 
-void memory_parts()
+void measure_memory()
 {
     constexpr std::uint32_t count = 50'000;
     std::size_t before = allocated();
@@ -63,7 +63,7 @@
     report("an ended generation", static_cast<double>(allocated() - before) / count, "bytes");
 }
 
-void homes()
+void measure_key_homes()
 {
     for (std::uint64_t nodes : {9U, 27U, 380U})
     {
@@ -85,7 +85,7 @@
     }
 }
 
-void life()
+void measure_lifecycle()
 {
     generation_lifecycle machine;
     static_cast<void>(machine.apply(lifecycle_event::run));
@@ -97,9 +97,9 @@
     report("the state machine itself", static_cast<double>(sizeof(generation_lifecycle)), "bytes");
 }
 
-struct world
+struct shard_fixture
 {
-    world()
+    shard_fixture()
     {
         settings.self.id = {1};
         settings.self.incarnation_number = {1};
@@ -122,12 +122,12 @@
     std::atomic<std::uint32_t> in_flight{0};
 };
 
-void streams()
+void measure_streams()
 {
     constexpr std::size_t count = 5'000;
     constexpr std::size_t tokens = 200;
-    world around;
-    request_shard shard{{around.settings, around.signer, around.fleet, around.in_flight},
+    shard_fixture fixture;
+    request_shard shard{{fixture.settings, fixture.signer, fixture.fleet, fixture.in_flight},
                         0,
                         std::make_unique<least_in_flight>()};
     state::time_point now{1h};
@@ -171,8 +171,8 @@
 int main()
 {
     std::printf("| what | cost |\n|---|---|\n");
-    memory_parts();
-    homes();
-    life();
-    streams();
+    measure_memory();
+    measure_key_homes();
+    measure_lifecycle();
+    measure_streams();
 }
--- a/bench/ownership_ways.cpp
+++ b/bench/ownership_ways.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t zones = 4;
 constexpr std::size_t engines = 12;
 constexpr duration warm_up = 66s;
-constexpr duration event_time = 30s;
+constexpr duration fault_window = 30s;
 constexpr std::uint64_t seeds = 40;
 
 // -- situations -----------------------------------------------------------------------------------
@@ -27,20 +27,20 @@
     void (*begin)(request_fleet& fleet);
 };
 
-void nothing(request_fleet& /*fleet*/) {}
+void no_fault(request_fleet& /*fleet*/) {}
 
 void one_death(request_fleet& fleet)
 {
     fleet.stop_node(fleet.random() % nodes);
 }
 
-void cut(request_fleet& fleet)
+void cut_zone_off(request_fleet& fleet)
 {
     fleet.cut_zone = 0;
-    fleet.loop.after(event_time, [&fleet] { fleet.cut_zone.reset(); });
+    fleet.loop.after(fault_window, [&fleet] { fleet.cut_zone.reset(); });
 }
 
-void replace(request_fleet& fleet, std::size_t which)
+void replace_node(request_fleet& fleet, std::size_t which)
 {
     fleet.drain_node(which);
     fleet.loop.after(3s,
@@ -54,11 +54,11 @@
                      });
 }
 
-void rolling(request_fleet& fleet)
+void replace_all_in_turn(request_fleet& fleet)
 {
     for (std::size_t i = 0; i < nodes; ++i)
     {
-        fleet.loop.after(i * (event_time / nodes), [&fleet, i] { replace(fleet, i); });
+        fleet.loop.after(i * (fault_window / nodes), [&fleet, i] { replace_node(fleet, i); });
     }
 }
 
@@ -82,10 +82,10 @@
 }
 
 constexpr std::array situations{
-    situation{"no fault", &nothing},
+    situation{"no fault", &no_fault},
     situation{"one VM dies", &one_death},
-    situation{"a zone is cut off", &cut},
-    situation{"all replaced in turn", &rolling},
+    situation{"a zone is cut off", &cut_zone_off},
+    situation{"all replaced in turn", &replace_all_in_turn},
     situation{"half die at once", &half_at_once},
     situation{"all die at once", &all_at_once},
 };
@@ -93,25 +93,26 @@
 // -- ways -----------------------------------------------------------------------------------------
 
 /// \brief One way to ask for work, and whether the call is a first or a repeat.
-struct way
+struct request_method
 {
     std::string_view name;
     order_kind kind;
     bool numbered;
     std::uint32_t attempt;
-    bool breaks; ///< The first call's connection is lost after 100 ms, then it is repeated.
+    bool loses_connection; ///< The first call's connection is lost after 100 ms, then it is
+                           ///< repeated.
 };
 
-constexpr std::array ways{
-    way{"repeatable question", order_kind::question, true, 1, false},
-    way{"reserved, then run", order_kind::reserved_draft, true, 1, false},
-    way{"key, first attempt told (a+d)", order_kind::keyed_draft, true, 1, false},
-    way{"key, attempt not told (a)", order_kind::keyed_draft, false, 1, false},
-    way{"key, repeat of a run (a+d)", order_kind::keyed_whole, true, 1, true},
-    way{"key, repeat of a lost first (a+d)", order_kind::keyed_draft, true, 2, false},
+constexpr std::array request_methods{
+    request_method{"repeatable question", order_kind::question, true, 1, false},
+    request_method{"reserved, then run", order_kind::reserved_draft, true, 1, false},
+    request_method{"key, first attempt told (a+d)", order_kind::keyed_draft, true, 1, false},
+    request_method{"key, attempt not told (a)", order_kind::keyed_draft, false, 1, false},
+    request_method{"key, repeat of a run (a+d)", order_kind::keyed_whole, true, 1, true},
+    request_method{"key, repeat of a lost first (a+d)", order_kind::keyed_draft, true, 2, false},
 };
 
-struct tally
+struct outcome_counts
 {
     std::size_t asked = 0;
     std::size_t whole = 0;
@@ -121,32 +122,33 @@
     std::size_t violations = 0;
 };
 
-void count_order(tally& into, order const& each)
+void count_order(outcome_counts& counts, order const& each)
 {
-    ++into.asked;
-    into.whole += each.whole ? 1 : 0;
+    ++counts.asked;
+    counts.whole += each.whole ? 1 : 0;
     if (each.whole)
     {
         return;
     }
-    bool const doubt = each.last == state::error_kind::key_in_doubt;
-    bool const known = each.last != state::error_kind::count;
+    bool const doubt = each.last_error == state::error_kind::key_in_doubt;
+    bool const known = each.last_error != state::error_kind::count;
     bool const not_run =
-        known && !doubt && state::answer_for(each.last).claim == state::run_claim::not_run;
-    into.in_doubt += doubt ? 1 : 0;
-    into.not_run += not_run ? 1 : 0;
-    into.other += !doubt && !not_run ? 1 : 0;
+        known && !doubt && state::answer_for(each.last_error).claim == state::run_claim::not_run;
+    counts.in_doubt += doubt ? 1 : 0;
+    counts.not_run += not_run ? 1 : 0;
+    counts.other += !doubt && !not_run ? 1 : 0;
 }
 
 /// \brief Asks for work all through the event, at VMs that a balancer would use.
-void ask(request_fleet& fleet, checked_callers& callers, way const& how, bool patient)
+void send_orders(request_fleet& fleet, checked_callers& callers, request_method const& method,
+                 bool retries)
 {
     constexpr std::size_t orders = 40;
     for (std::size_t i = 0; i < orders; ++i)
     {
         fleet.loop.after(
-            warm_up + i * (event_time / orders),
-            [&fleet, &callers, &how, patient]
+            warm_up + i * (fault_window / orders),
+            [&fleet, &callers, &method, retries]
             {
                 std::size_t node = fleet.random() % nodes;
                 for (int tries = 0; tries < 50; ++tries)
@@ -158,38 +160,39 @@
                     }
                     node = fleet.random() % nodes;
                 }
-                std::size_t const which = callers.begin(how.kind, node,
+                std::size_t const which = callers.begin(method.kind, node,
                                                         [&](order& each)
                                                         {
-                                                            each.numbered = how.numbered;
-                                                            each.attempt = how.attempt;
-                                                            each.patient = patient || how.breaks;
+                                                            each.numbered = method.numbered;
+                                                            each.attempt = method.attempt;
+                                                            each.retries =
+                                                                retries || method.loses_connection;
                                                         });
-                if (how.breaks)
+                if (method.loses_connection)
                 {
                     fleet.loop.after(100ms,
-                                     [&fleet, &callers, which, patient]
+                                     [&fleet, &callers, which, retries]
                                      {
-                                         callers.hang_up(which, fleet.random() % nodes);
+                                         callers.disconnect(which, fleet.random() % nodes);
                                          callers.orders[which].tries =
-                                             patient ? 0 : checked_callers::most_tries - 1;
+                                             retries ? 0 : checked_callers::max_tries - 1;
                                      });
                 }
             });
     }
 }
 
-tally run(situation const& when, way const& how, bool patient)
+outcome_counts run(situation const& when, request_method const& method, bool retries)
 {
-    tally result;
+    outcome_counts result;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
         checked_callers callers;
         request_fleet fleet{{nodes, engines, zones, {}, 60s, 20ms}, seed, callers};
         callers.fleet = &fleet;
         fleet.loop.after(warm_up, [&] { when.begin(fleet); });
-        ask(fleet, callers, how, patient);
-        fleet.loop.run_until(fleet.loop.now() + warm_up + event_time + 60s);
+        send_orders(fleet, callers, method, retries);
+        fleet.loop.run_until(fleet.loop.now() + warm_up + fault_window + 60s);
         callers.check();
         result.violations += callers.violations.size();
         for (order const& each : callers.orders)
@@ -200,23 +203,23 @@
     return result;
 }
 
-void print_table(bool patient)
+void print_table(bool retries)
 {
     std::printf("\n| %s | asked | whole %% | refused, not run %% | key in doubt %% | other %% | "
                 "violations |\n|---|---|---|---|---|---|---|\n",
-                patient ? "callers that try again for 45 s" : "callers that ask once");
+                retries ? "callers that try again for 45 s" : "callers that ask once");
     for (situation const& when : situations)
     {
-        for (way const& how : ways)
+        for (request_method const& method : request_methods)
         {
-            tally const each = run(when, how, patient);
+            outcome_counts const each = run(when, method, retries);
             auto const share = [&](std::size_t part)
             {
                 return 100.0 * static_cast<double>(part) / static_cast<double>(each.asked);
             };
             std::printf("| %s: %s | %zu | %.1f | %.1f | %.1f | %.1f | %zu |\n",
-                        std::string{when.name}.c_str(), std::string{how.name}.c_str(), each.asked,
-                        share(each.whole), share(each.not_run), share(each.in_doubt),
+                        std::string{when.name}.c_str(), std::string{method.name}.c_str(),
+                        each.asked, share(each.whole), share(each.not_run), share(each.in_doubt),
                         share(each.other), each.violations);
         }
     }
--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -17,27 +17,28 @@
 
 /// \brief Returns the maker of a policy by name: projected, oracle, or a ranking with a cap, as in
 /// `two_choices:0.8`; a cap above 1 refuses nothing.
-policy_maker maker_of(std::string const& name)
+policy_factory make_policy_factory(std::string const& name)
 {
     if (name == "projected")
     {
-        return [](policy_place const& place)
+        return [](policy_context const& context)
         {
             return std::make_unique<co::projected_memory_policy>(
-                co::entry_vm_placement{place.node, place.zone, 1}, co::subset_limits{}, place.seed);
+                co::entry_vm_placement{context.node, context.zone, 1}, co::subset_limits{},
+                context.seed);
         };
     }
     if (name == "oracle")
     {
-        return [](policy_place const& place)
+        return [](policy_context const& context)
         {
-            return std::make_unique<oracle>(place.world, place.seed);
+            return std::make_unique<oracle>(context.truth, context.seed);
         };
     }
     auto const colon = name.find(':');
     std::string const ranking = name.substr(0, colon);
     double const cap = colon == std::string::npos ? 2.0 : std::stod(name.substr(colon + 1));
-    return [ranking, cap](policy_place const& place) -> std::unique_ptr<co::dispatch_policy>
+    return [ranking, cap](policy_context const& context) -> std::unique_ptr<co::dispatch_policy>
     {
         std::unique_ptr<co::balancing_strategy> chosen;
         if (ranking == "round_robin")
@@ -54,7 +55,7 @@
         }
         else
         {
-            chosen = std::make_unique<co::two_choices>(place.seed);
+            chosen = std::make_unique<co::two_choices>(context.seed);
         }
         return std::make_unique<co::memory_cap_policy>(std::move(chosen), cap);
     };
@@ -82,29 +83,29 @@
 
 scenario scenario_named(std::string const& deployment)
 {
-    scenario what;
-    what.deployment = deployment;
+    scenario run_scenario;
+    run_scenario.deployment = deployment;
     if (deployment == "muscat")
     {
-        what.zones = 3;
-        what.entry_vms = 9;
+        run_scenario.zones = 3;
+        run_scenario.entry_vms = 9;
     }
     else if (deployment == "deciders100")
     {
-        what.zones = 4;
-        what.engines = 120;
-        what.entry_vms = 100;
+        run_scenario.zones = 4;
+        run_scenario.engines = 120;
+        run_scenario.entry_vms = 100;
     }
     else if (deployment == "deciders380")
     {
-        what.zones = 14;
-        what.engines = 420;
-        what.entry_vms = 380;
+        run_scenario.zones = 14;
+        run_scenario.engines = 420;
+        run_scenario.entry_vms = 380;
     }
-    return what;
+    return run_scenario;
 }
 
-double part(std::uint64_t of, std::uint64_t all)
+double share(std::uint64_t of, std::uint64_t all)
 {
     return all == 0 ? 0.0 : static_cast<double>(of) / static_cast<double>(all);
 }
@@ -115,7 +116,7 @@
                 "\"tokens_per_second\":%.1f,\"stall_per_answer\":%.5f,\"gap_p50\":%.5f,"
                 "\"gap_p95\":%.5f,\"gap_p99\":%.5f,\"gap_p999\":%.5f,\"first_p50\":%.4f,"
                 "\"first_p99\":%.4f}",
-                name, static_cast<unsigned long long>(kind.asked), part(kind.refused, kind.asked),
+                name, static_cast<unsigned long long>(kind.asked), share(kind.refused, kind.asked),
                 static_cast<unsigned long long>(kind.finished),
                 static_cast<unsigned long long>(kind.interrupted),
                 static_cast<double>(kind.tokens) / seconds,
@@ -130,7 +131,7 @@
 {
     double sum = 0.0;
     double count = 0.0;
-    run.each_policy(
+    run.for_each_policy(
         [&](co::dispatch_policy const& each)
         {
             if (auto const* ours = dynamic_cast<co::projected_memory_policy const*>(&each))
@@ -142,23 +143,23 @@
     return count == 0.0 ? 0.0 : sum / count;
 }
 
-void print(scenario const& what, std::string const& policy, std::string const& fault,
+void print(scenario const& run_scenario, std::string const& policy, std::string const& fault,
            measures const& result, double limit)
 {
     double const tokens = static_cast<double>(result.question.tokens + result.draft.tokens);
-    double const fault_end = what.fault_at + what.fault_seconds;
+    double const fault_end = run_scenario.fault_at + run_scenario.fault_seconds;
     double const worst = worst_modest_share(result.customers);
     std::printf("{\"deployment\":\"%s\",\"policy\":\"%s\",\"load\":%.2f,\"fault\":\"%s\","
                 "\"seed\":%llu,\"preemptions\":%.3f,\"preemptions_during\":%.3f,"
                 "\"preemptions_after\":%.3f,\"tokens_per_second\":%.1f,\"worst_modest\":%.4f,"
                 "\"retries\":%llu,\"untrue\":%llu,\"limit\":%.4f",
-                what.deployment.c_str(), policy.c_str(), what.load, fault.c_str(),
-                static_cast<unsigned long long>(what.seed),
-                result.preemption_rate(what.warm_up, what.seconds),
-                result.preemption_rate(what.fault_at, fault_end + 10.0),
-                result.preemption_rate(fault_end + 10.0, what.seconds), tokens / result.seconds,
-                worst, static_cast<unsigned long long>(result.retries),
-                static_cast<unsigned long long>(result.untrue_refusals), limit);
+                run_scenario.deployment.c_str(), policy.c_str(), run_scenario.load, fault.c_str(),
+                static_cast<unsigned long long>(run_scenario.seed),
+                result.preemption_rate(run_scenario.warm_up, run_scenario.seconds),
+                result.preemption_rate(run_scenario.fault_at, fault_end + 10.0),
+                result.preemption_rate(fault_end + 10.0, run_scenario.seconds),
+                tokens / result.seconds, worst, static_cast<unsigned long long>(result.retries),
+                static_cast<unsigned long long>(result.false_refusals), limit);
     print_kind("question", result.question, result.seconds);
     print_kind("draft", result.draft, result.seconds);
     std::printf("}\n");
@@ -182,18 +183,18 @@
         TCLAP::ValueArg<double> seconds{"t", "seconds", "length", false, 360.0, "s", command};
         command.parse(argc, argv);
 
-        scenario what = scenario_named(deployment.getValue());
-        what.load = load.getValue();
-        what.seed = seed.getValue();
-        what.fault = fault_named(fault.getValue());
-        what.seconds = seconds.getValue();
-        fleet_run run{what, maker_of(policy.getValue())};
-        st::preset maintenance = what.preset;
+        scenario run_scenario = scenario_named(deployment.getValue());
+        run_scenario.load = load.getValue();
+        run_scenario.seed = seed.getValue();
+        run_scenario.fault = fault_named(fault.getValue());
+        run_scenario.seconds = seconds.getValue();
+        fleet_run run{run_scenario, make_policy_factory(policy.getValue())};
+        st::preset maintenance = run_scenario.preset;
         maintenance.max_batch = 32;
         maintenance.question_headroom = 0.2;
         run.alternate_with(maintenance);
         measures const result = run.run();
-        print(what, policy.getValue(), fault.getValue(), result, mean_limit(run));
+        print(run_scenario, policy.getValue(), fault.getValue(), result, mean_limit(run));
         return 0;
     }
     catch (TCLAP::ArgException const& problem)
--- a/bench/policy/engine_model.hpp
+++ b/bench/policy/engine_model.hpp
@@ -29,15 +29,15 @@
 };
 
 /// \brief Figures of the modelled accelerator.
-struct engine_figures
+struct engine_parameters
 {
     std::uint32_t blocks = 4096;
     std::uint32_t block_tokens = 16;
-    std::uint32_t most_running = 256;
-    duration step_base = std::chrono::milliseconds{12};
-    duration step_each = std::chrono::microseconds{450};
-    duration prefill_token = std::chrono::microseconds{20};
-    std::uint32_t prefill_limit = 2048;
+    std::uint32_t max_running = 256;
+    duration step_base_time = std::chrono::milliseconds{12};
+    duration step_time_per_sequence = std::chrono::microseconds{450};
+    duration prefill_time_per_token = std::chrono::microseconds{20};
+    std::uint32_t max_prefill_tokens = 2048;
 };
 
 /// \brief Decodes one token a step for every running sequence. When a block is needed and none is
@@ -45,7 +45,10 @@
 class engine_model
 {
 public:
-    explicit engine_model(engine_figures figures) : figures_{figures}, free_{figures.blocks} {}
+    explicit engine_model(engine_parameters parameters)
+        : parameters_{parameters}, free_{parameters.blocks}
+    {
+    }
 
     void add(sequence each)
     {
@@ -67,8 +70,8 @@
         {
             return {};
         }
-        return figures_.step_base + figures_.step_each * running_.size() +
-               figures_.prefill_token * prefilled;
+        return parameters_.step_base_time + parameters_.step_time_per_sequence * running_.size() +
+               parameters_.prefill_time_per_token * prefilled;
     }
 
     /// \brief Ends a step: `on_token(sequence, done)` for each token made.
@@ -103,7 +106,7 @@
         std::for_each(waiting_.begin(), waiting_.end(), on_lost);
         running_.clear();
         waiting_.clear();
-        free_ = figures_.blocks;
+        free_ = parameters_.blocks;
         preemptions_ = 0;
     }
 
@@ -126,9 +129,9 @@
     [[nodiscard]] plumdale::state::load_report report() const
     {
         plumdale::state::load_report report;
-        report.blocks_total = figures_.blocks;
-        report.blocks_used = figures_.blocks - free_;
-        report.block_tokens = figures_.block_tokens;
+        report.blocks_total = parameters_.blocks;
+        report.blocks_used = parameters_.blocks - free_;
+        report.block_tokens = parameters_.block_tokens;
         report.running = static_cast<std::uint32_t>(running_.size());
         report.waiting = static_cast<std::uint32_t>(waiting_.size());
         report.preemptions = preemptions_;
@@ -143,22 +146,22 @@
     {
         return waiting_;
     }
-    [[nodiscard]] engine_figures const& figures() const
+    [[nodiscard]] engine_parameters const& parameters() const
     {
-        return figures_;
+        return parameters_;
     }
 
 private:
     [[nodiscard]] std::uint32_t blocks_for(std::uint32_t tokens) const
     {
-        return (tokens + figures_.block_tokens - 1) / figures_.block_tokens;
+        return (tokens + parameters_.block_tokens - 1) / parameters_.block_tokens;
     }
 
     std::uint32_t admit()
     {
         std::uint32_t prefilled = 0;
-        while (!waiting_.empty() && running_.size() < figures_.most_running &&
-               prefilled < figures_.prefill_limit)
+        while (!waiting_.empty() && running_.size() < parameters_.max_running &&
+               prefilled < parameters_.max_prefill_tokens)
         {
             sequence each = waiting_.front();
             std::uint32_t const tokens = each.prompt + each.tokens;
@@ -200,7 +203,7 @@
         return true;
     }
 
-    engine_figures figures_;
+    engine_parameters parameters_;
     std::uint32_t free_;
     std::vector<sequence> running_;
     std::deque<sequence> waiting_;
--- a/bench/policy/fleet_run.hpp
+++ b/bench/policy/fleet_run.hpp
@@ -27,43 +27,43 @@
 namespace st = plumdale::state;
 
 /// \brief What a policy under test is made from.
-struct policy_place
+struct policy_context
 {
     st::node_id node;
     st::zone_id zone;
     std::uint64_t seed;
-    true_state world;
+    ground_truth truth;
 };
-using policy_maker = std::function<std::unique_ptr<co::dispatch_policy>(policy_place const&)>;
+using policy_factory = std::function<std::unique_ptr<co::dispatch_policy>(policy_context const&)>;
 
 /// \brief One run of one policy in one scenario.
 class fleet_run
 {
 public:
-    fleet_run(scenario const& what, policy_maker const& make)
-        : what_{what}, source_{what_}, model_{st::id_from_name<st::model_id>("lists")}
+    fleet_run(scenario const& chosen, policy_factory const& factory)
+        : scenario_{chosen}, source_{scenario_}, model_{st::id_from_name<st::model_id>("lists")}
     {
         result_.customers.resize(demand_source::customers);
-        auto const slices = static_cast<std::size_t>(what.seconds / measures::slice_seconds) + 1;
+        auto const slices = static_cast<std::size_t>(chosen.seconds / measures::slice_seconds) + 1;
         result_.preemptions.resize(slices);
         result_.answers.resize(slices);
-        result_.seconds = what.seconds - what.warm_up;
+        result_.seconds = chosen.seconds - chosen.warm_up;
         make_engines();
-        for (std::uint32_t i = 0; i < what.entry_vms; ++i)
+        for (std::uint32_t i = 0; i < chosen.entry_vms; ++i)
         {
-            make_decider(i, make);
+            make_decider(i, factory);
         }
         push(at(0.0), event_kind::arrival, 0);
         push(at(0.0), event_kind::sample, 0);
-        if (what.fault != fault_kind::none)
+        if (chosen.fault != fault_kind::none)
         {
-            push(at(what.fault_at), event_kind::fault_begins, 0);
+            push(at(chosen.fault_at), event_kind::fault_begins, 0);
         }
     }
 
     measures run()
     {
-        time_point const end = at(what_.seconds);
+        time_point const end = at(scenario_.seconds);
         while (queue_.top().when < end)
         {
             event const next = queue_.top();
@@ -80,13 +80,13 @@
         other_preset_ = std::move(other);
     }
 
-    /// \brief Calls `look` with each decider's policy.
-    template <class Look>
-    void each_policy(Look look) const
+    /// \brief Calls `visit` with each decider's policy.
+    template <class Visitor>
+    void for_each_policy(Visitor visit) const
     {
         for (auto const& each : deciders_)
         {
-            look(*each.policy);
+            visit(*each.policy);
         }
     }
 
@@ -95,7 +95,7 @@
     {
         arrival,
         step,
-        ask,
+        reevaluate,
         reports,
         sample,
         fault_begins,
@@ -132,7 +132,7 @@
         std::vector<st::upstream_id> failed;
     };
 
-    struct engine_place
+    struct engine_state
     {
         std::uint32_t zone = 0;
         st::upstream_id id;
@@ -156,8 +156,8 @@
 
     static constexpr duration sample_interval = std::chrono::milliseconds{250};
     static constexpr duration report_interval = std::chrono::milliseconds{500};
-    static constexpr std::size_t report_lag = 4; ///< Samples: a report is one second old.
-    static constexpr double stall_after = 0.2;   ///< A longer gap counts as stalled from there.
+    static constexpr std::size_t report_lag = 4;   ///< Samples: a report is one second old.
+    static constexpr double stall_threshold = 0.2; ///< A longer gap counts as stalled from there.
 
     static time_point at(double seconds)
     {
@@ -172,11 +172,11 @@
     {
         return std::chrono::duration<double>(span).count();
     }
-    [[nodiscard]] bool counted() const
+    [[nodiscard]] bool past_warm_up() const
     {
-        return now_ >= at(what_.warm_up);
+        return now_ >= at(scenario_.warm_up);
     }
-    kind_measures& kind_of(run_state const& run)
+    kind_measures& measures_of(run_state const& run)
     {
         return run.wanted.question ? result_.question : result_.draft;
     }
@@ -189,14 +189,14 @@
 
     void make_engines();
 
-    void make_decider(std::uint32_t index, policy_maker const& make);
+    void make_decider(std::uint32_t index, policy_factory const& factory);
 
-    static st::zone_id zone_name(std::uint32_t zone)
+    static st::zone_id zone_id_of(std::uint32_t zone)
     {
         return st::zone_id{zone + 1};
     }
 
-    static std::shared_ptr<co::upstream_gauge> fresh_gauge(time_point seen)
+    static std::shared_ptr<co::upstream_gauge> new_gauge(time_point seen)
     {
         auto gauge = std::make_shared<co::upstream_gauge>();
         gauge->first_seen = seen.time_since_epoch().count();
@@ -206,7 +206,7 @@
 
     [[nodiscard]] bool cut_between(std::uint32_t a, std::uint32_t b) const
     {
-        return cut_ && a != b && (a == 0 || b == 0);
+        return zone_cut_ && a != b && (a == 0 || b == 0);
     }
 
     void publish(decider& each);
@@ -218,11 +218,11 @@
         switch (next.kind)
         {
         case event_kind::arrival:
-            return arrive();
+            return receive_request();
         case event_kind::step:
             return step(next.index);
-        case event_kind::ask:
-            return ask(next.index);
+        case event_kind::reevaluate:
+            return reevaluate(next.index);
         case event_kind::reports:
             return read_reports(next.index);
         case event_kind::sample:
@@ -230,19 +230,19 @@
         case event_kind::fault_begins:
             return begin_fault();
         case event_kind::fault_noticed:
-            noticed_ = true;
+            fault_noticed_ = true;
             return publish_all();
         case event_kind::fault_ends:
             return end_fault();
         }
     }
 
-    void arrive()
+    void receive_request()
     {
         run_state run;
         run.wanted = source_.next(seconds_now());
         run.received = now_;
-        run.decider = static_cast<std::uint32_t>(source_.random()() % what_.entry_vms);
+        run.decider = static_cast<std::uint32_t>(source_.random()() % scenario_.entry_vms);
         run.request.kind = run.wanted.question ? st::work_kind::question : st::work_kind::draft;
         run.request.repeatable = run.wanted.question;
         run.request.customer = st::customer_id{run.wanted.customer + 1};
@@ -251,19 +251,20 @@
         auto const index = static_cast<std::uint32_t>(runs_.size());
         run.request.key = st::idempotency_key_id{index + 1U};
         length_of_[index + 1U] = run.wanted.length;
-        if (counted())
+        if (past_warm_up())
         {
-            ++kind_of(run).asked;
+            ++measures_of(run).asked;
             result_.customers[run.wanted.customer].asked_tokens += run.wanted.length;
         }
         runs_.push_back(std::move(run));
         decide(index);
-        double const pause = source_.pause(seconds_now());
-        push(now_ + std::chrono::duration_cast<duration>(std::chrono::duration<double>{pause}),
+        double const interarrival = source_.interarrival_seconds(seconds_now());
+        push(now_ +
+                 std::chrono::duration_cast<duration>(std::chrono::duration<double>{interarrival}),
              event_kind::arrival, 0);
     }
 
-    void ask(std::uint32_t index)
+    void reevaluate(std::uint32_t index)
     {
         auto& waiting = deciders_[runs_[index].decider].waiting;
         auto const found = std::find(waiting.begin(), waiting.end(), index);
@@ -277,16 +278,16 @@
     void decide(std::uint32_t index)
     {
         run_state& run = runs_[index];
-        decider& by = deciders_[run.decider];
-        co::dispatch_attempt const question{run.request, run.received, run.starts, run.failed};
-        co::dispatch_decision const decision = by.policy->decide(question, *by.fleet, now_);
+        decider& owner = deciders_[run.decider];
+        co::dispatch_attempt const attempt{run.request, run.received, run.starts, run.failed};
+        co::dispatch_decision const decision = owner.policy->decide(attempt, *owner.fleet, now_);
         switch (decision.verdict)
         {
         case co::dispatch_verdict::dispatch:
             return start(index, *decision.upstream);
         case co::dispatch_verdict::wait:
-            by.waiting.push_back(index);
-            return push(decision.reevaluate_at, event_kind::ask, index);
+            owner.waiting.push_back(index);
+            return push(decision.reevaluate_at, event_kind::reevaluate, index);
         case co::dispatch_verdict::refuse:
             return refuse(run);
         }
@@ -296,16 +297,16 @@
     {
         // A start that reached an engine may have run, and is answered as such.
         run.refused = !run.ran;
-        if (run.received < at(what_.warm_up))
+        if (run.received < at(scenario_.warm_up))
         {
             return;
         }
         if (run.ran)
         {
-            ++kind_of(run).interrupted;
+            ++measures_of(run).interrupted;
             return;
         }
-        ++kind_of(run).refused;
+        ++measures_of(run).refused;
         result_.customers[run.wanted.customer].refused_tokens += run.wanted.length;
     }
 
@@ -316,12 +317,12 @@
         ++run.starts;
         result_.retries += run.starts > 1 ? 1 : 0;
         st::stream_handle const stream{index + 1ULL};
-        decider& by = deciders_[run.decider];
-        by.policy->started(stream, run.request, view, now_);
-        engine_place const& place = places_[run.engine];
-        if (!place.alive || cut_between(by.zone, place.zone))
+        decider& owner = deciders_[run.decider];
+        owner.policy->started(stream, run.request, view, now_);
+        engine_state const& target = engine_states_[run.engine];
+        if (!target.alive || cut_between(owner.zone, target.zone))
         {
-            by.policy->ended(stream, 0, co::stream_outcome::failed, now_);
+            owner.policy->ended(stream, 0, co::stream_outcome::failed, now_);
             run.failed.push_back(view.info.id);
             return decide(index);
         }
@@ -330,93 +331,93 @@
         run.last_token = now_;
         engines_[run.engine]->add(
             {index, run.wanted.prompt, run.wanted.length, 0, 0, run.wanted.question});
-        wake(run.engine);
+        start_step(run.engine);
     }
 
-    void wake(std::uint32_t engine)
+    void start_step(std::uint32_t engine)
     {
-        if (places_[engine].stepping)
+        if (engine_states_[engine].stepping)
         {
             return;
         }
         duration const length = engines_[engine]->begin_step();
         if (length > duration{})
         {
-            places_[engine].stepping = true;
+            engine_states_[engine].stepping = true;
             push(now_ + length, event_kind::step, engine);
         }
     }
 
     void step(std::uint32_t engine)
     {
-        places_[engine].stepping = false;
+        engine_states_[engine].stepping = false;
         ended_.clear();
         engines_[engine]->end_step([this](sequence const& each, bool done)
-                                   { take_token(each, done); });
+                                   { record_token(each, done); });
         std::uint64_t const preempted = engines_[engine]->report().preemptions;
-        if (preempted > places_[engine].preemptions)
+        if (preempted > engine_states_[engine].preemptions)
         {
-            slice(result_.preemptions) += preempted - places_[engine].preemptions;
+            slice_of(result_.preemptions) += preempted - engine_states_[engine].preemptions;
         }
-        places_[engine].preemptions = preempted;
-        wake(engine);
+        engine_states_[engine].preemptions = preempted;
+        start_step(engine);
         for (std::uint32_t const index : std::exchange(ended_, {}))
         {
-            ask_oldest(runs_[index].decider);
+            reevaluate_oldest(runs_[index].decider);
         }
     }
 
-    std::uint64_t& slice(std::vector<std::uint64_t>& counts) const
+    std::uint64_t& slice_of(std::vector<std::uint64_t>& counts) const
     {
         return counts[static_cast<std::size_t>(seconds_now() / measures::slice_seconds)];
     }
 
-    void take_token(sequence const& each, bool done)
+    void record_token(sequence const& each, bool done)
     {
         run_state& run = runs_[each.run];
-        decider& by = deciders_[run.decider];
+        decider& owner = deciders_[run.decider];
         st::stream_handle const stream{each.run + 1ULL};
-        by.policy->token(stream, each.tokens - 1, now_);
+        owner.policy->token(stream, each.tokens - 1, now_);
         double const gap = seconds(now_ - run.last_token);
         run.last_token = now_;
         run.tokens = each.tokens;
-        result_.untrue_refusals += run.refused ? 1 : 0;
-        if (counted())
+        result_.false_refusals += run.refused ? 1 : 0;
+        if (past_warm_up())
         {
-            kind_measures& kind = kind_of(run);
+            kind_measures& kind = measures_of(run);
             (each.tokens == 1 ? kind.first_token : kind.gaps)
                 .add(each.tokens == 1 ? seconds(now_ - run.received) : gap);
-            kind.stall_seconds += each.tokens > 1 ? std::max(0.0, gap - stall_after) : 0.0;
+            kind.stall_seconds += each.tokens > 1 ? std::max(0.0, gap - stall_threshold) : 0.0;
         }
         if (done)
         {
-            by.policy->ended(stream, each.tokens, co::stream_outcome::finished, now_);
+            owner.policy->ended(stream, each.tokens, co::stream_outcome::finished, now_);
             run.active = false;
             ended_.push_back(each.run);
-            ++slice(result_.answers);
-            if (counted())
+            ++slice_of(result_.answers);
+            if (past_warm_up())
             {
-                ++kind_of(run).finished;
-                kind_of(run).tokens += each.tokens;
+                ++measures_of(run).finished;
+                measures_of(run).tokens += each.tokens;
             }
         }
     }
 
-    void ask_oldest(std::uint32_t index)
+    void reevaluate_oldest(std::uint32_t index)
     {
         auto& waiting = deciders_[index].waiting;
         if (!waiting.empty())
         {
             std::uint32_t const oldest = *std::min_element(waiting.begin(), waiting.end());
-            ask(oldest);
+            reevaluate(oldest);
         }
     }
 
     void sample()
     {
-        for (std::uint32_t i = 0; i < what_.engines; ++i)
+        for (std::uint32_t i = 0; i < scenario_.engines; ++i)
         {
-            auto& samples = places_[i].samples;
+            auto& samples = engine_states_[i].samples;
             samples.push_back(engines_[i]->report());
             if (samples.size() > report_lag + 1)
             {
@@ -428,17 +429,17 @@
 
     void read_reports(std::uint32_t index)
     {
-        decider& by = deciders_[index];
-        for (std::uint32_t i = 0; i < what_.engines; ++i)
+        decider& owner = deciders_[index];
+        for (std::uint32_t i = 0; i < scenario_.engines; ++i)
         {
-            engine_place const& place = places_[i];
-            if (!place.alive || cut_between(by.zone, place.zone) || place.samples.empty())
+            engine_state const& target = engine_states_[i];
+            if (!target.alive || cut_between(owner.zone, target.zone) || target.samples.empty())
             {
                 continue;
             }
-            st::load_report const& report = place.samples.front();
-            auto const age = sample_interval * (place.samples.size() - 1);
-            co::upstream_gauge& gauge = *by.gauges[i];
+            st::load_report const& report = target.samples.front();
+            auto const age = sample_interval * (target.samples.size() - 1);
+            co::upstream_gauge& gauge = *owner.gauges[i];
             gauge.reported_at = (now_ - age).time_since_epoch().count();
             gauge.blocks_total = report.blocks_total;
             gauge.blocks_used = report.blocks_used;
@@ -454,13 +455,13 @@
     // -- faults: fleet_run_faults.hpp -------------------------------------------------------------
 
     void publish_all();
-    void lose(std::uint32_t index);
+    void fail_run(std::uint32_t index);
     void kill(std::uint32_t engine);
     void begin_fault();
-    void lose_cut_streams();
+    void fail_cut_streams();
     void end_fault();
 
-    scenario what_;
+    scenario scenario_;
     demand_source source_;
     st::model_id model_;
     st::preset other_preset_;
@@ -468,9 +469,9 @@
     std::priority_queue<event> queue_;
     std::uint64_t order_ = 0;
     std::uint64_t version_ = 0;
-    bool cut_ = false;
-    bool noticed_ = false;
-    std::vector<engine_place> places_;
+    bool zone_cut_ = false;
+    bool fault_noticed_ = false;
+    std::vector<engine_state> engine_states_;
     std::vector<std::unique_ptr<engine_model>> engines_;
     std::unordered_map<std::uint64_t, std::uint32_t> engine_of_;
     std::unordered_map<std::uint64_t, std::uint32_t> length_of_;
--- a/bench/policy/measures.hpp
+++ b/bench/policy/measures.hpp
@@ -18,30 +18,31 @@
 public:
     void add(double seconds)
     {
-        double const position = std::log(std::max(seconds, lowest) / lowest) / std::log(growth);
+        double const position =
+            std::log(std::max(seconds, lowest_seconds) / lowest_seconds) / std::log(range_growth);
         auto const at = std::min(static_cast<std::size_t>(position), counts_.size() - 1);
         ++counts_[at];
         ++total_;
     }
 
     /// \brief Returns the value below which a part of the durations lies, in seconds.
-    [[nodiscard]] double quantile(double part) const
+    [[nodiscard]] double quantile(double share) const
     {
-        auto left = static_cast<double>(total_) * part;
+        auto left = static_cast<double>(total_) * share;
         for (std::size_t i = 0; i < counts_.size(); ++i)
         {
             left -= static_cast<double>(counts_[i]);
             if (left <= 0.0 && total_ > 0)
             {
-                return lowest * std::pow(growth, static_cast<double>(i) + 0.5);
+                return lowest_seconds * std::pow(range_growth, static_cast<double>(i) + 0.5);
             }
         }
         return 0.0;
     }
 
 private:
-    static constexpr double lowest = 1e-4;
-    static constexpr double growth = 1.02;
+    static constexpr double lowest_seconds = 1e-4;
+    static constexpr double range_growth = 1.02;
     std::array<std::uint64_t, 800> counts_{};
     std::uint64_t total_ = 0;
 };
@@ -102,7 +103,7 @@
     kind_measures question;
     kind_measures draft;
     std::vector<customer_measures> customers;
-    std::uint64_t untrue_refusals = 0;
+    std::uint64_t false_refusals = 0;
     std::uint64_t retries = 0;
     double seconds = 0.0;
     /// \brief Preemptions and answers in each five seconds from the start.
--- a/bench/policy/oracle.hpp
+++ b/bench/policy/oracle.hpp
@@ -19,7 +19,7 @@
 {
 
 /// \brief What the oracle may see of the model.
-struct true_state
+struct ground_truth
 {
     std::vector<std::unique_ptr<engine_model>> const& engines;
     std::unordered_map<std::uint64_t, std::uint32_t> const& engine_of; ///< By upstream id.
@@ -30,7 +30,7 @@
 class oracle final : public plumdale::coordination::dispatch_policy
 {
 public:
-    oracle(true_state world, std::uint64_t seed) : world_{world}, random_{seed} {}
+    oracle(ground_truth truth, std::uint64_t seed) : truth_{truth}, random_{seed} {}
 
     [[nodiscard]] plumdale::coordination::dispatch_decision
     decide(plumdale::coordination::dispatch_attempt const& attempt,
@@ -39,19 +39,19 @@
     {
         plumdale::coordination::dispatch_decision decision;
         bool const draft = attempt.request.kind == plumdale::state::work_kind::draft;
-        double least = draft ? draft_bound : question_bound;
+        double least = draft ? draft_memory_limit : question_memory_limit;
         auto const views = fleet.upstreams_of(attempt.request.model);
-        double const places = fleet.preset.max_batch * (draft ? draft_places : 1.0);
+        double const max_sequences = fleet.preset.max_batch * (draft ? draft_batch_share : 1.0);
         std::size_t const first = random_() % views.size();
         for (std::size_t i = 0; i < std::min(views.size(), sampled_engines); ++i)
         {
             auto const& view = views[(first + i) % views.size()];
-            engine_model const& engine = *world_.engines[world_.engine_of.at(view.info.id.value)];
+            engine_model const& engine = *truth_.engines[truth_.engine_of.at(view.info.id.value)];
             double const count = static_cast<double>(engine.running().size()) +
                                  static_cast<double>(engine.waiting().size());
             bool const failed = std::find(attempt.failed.begin(), attempt.failed.end(),
                                           view.info.id) != attempt.failed.end();
-            if (!view.accepting || failed || count + 1 > places)
+            if (!view.accepting || failed || count + 1 > max_sequences)
             {
                 continue;
             }
@@ -63,8 +63,8 @@
                 decision.upstream = &view;
             }
         }
-        auto const patience = draft ? fleet.preset.draft_wait : std::chrono::milliseconds{250};
-        if (decision.upstream == nullptr && now - attempt.received < patience)
+        auto const max_wait = draft ? fleet.preset.draft_wait : std::chrono::milliseconds{250};
+        if (decision.upstream == nullptr && now - attempt.received < max_wait)
         {
             decision.verdict = plumdale::coordination::dispatch_verdict::wait;
             decision.reevaluate_at = now + std::chrono::milliseconds{100};
@@ -89,44 +89,45 @@
     }
 
 private:
-    static constexpr double draft_bound = 0.975; ///< The rest is for questions to come.
-    static constexpr double question_bound = 0.995;
-    static constexpr double draft_places = 0.9;
+    static constexpr double draft_memory_limit = 0.975; ///< The rest is for questions to come.
+    static constexpr double question_memory_limit = 0.995;
+    static constexpr double draft_batch_share = 0.9;
     static constexpr std::size_t sampled_engines = 16;
 
     /// \brief Returns the highest part of the memory that will be held, if nothing more came.
     double peak_of(engine_model const& engine, plumdale::state::request const& request)
     {
-        futures_.clear();
-        auto const note = [this](sequence const& each)
+        remaining_.clear();
+        auto const add_sequence = [this](sequence const& each)
         {
-            futures_.emplace_back(each.length - each.tokens, each.prompt + each.tokens);
+            remaining_.emplace_back(each.length - each.tokens, each.prompt + each.tokens);
         };
-        std::for_each(engine.running().begin(), engine.running().end(), note);
-        std::for_each(engine.waiting().begin(), engine.waiting().end(), note);
-        futures_.emplace_back(world_.length_of.at(request.key.value), request.prompt_tokens);
-        std::sort(futures_.begin(), futures_.end());
+        std::for_each(engine.running().begin(), engine.running().end(), add_sequence);
+        std::for_each(engine.waiting().begin(), engine.waiting().end(), add_sequence);
+        remaining_.emplace_back(truth_.length_of.at(request.key.value), request.prompt_tokens);
+        std::sort(remaining_.begin(), remaining_.end());
         double held = 0.0;
-        for (auto const& each : futures_)
+        for (auto const& each : remaining_)
         {
-            held += each.second + rounding;
+            held += each.second + unused_tokens_per_sequence;
         }
         double peak = 0.0;
-        auto alive = static_cast<double>(futures_.size());
-        for (auto const& each : futures_)
+        auto alive = static_cast<double>(remaining_.size());
+        for (auto const& each : remaining_)
         {
             peak = std::max(peak, held + alive * each.first);
-            held -= each.second + rounding;
+            held -= each.second + unused_tokens_per_sequence;
             alive -= 1.0;
         }
-        return peak / (engine.figures().blocks * engine.figures().block_tokens);
+        return peak / (engine.parameters().blocks * engine.parameters().block_tokens);
     }
 
-    static constexpr double rounding = 8.0; ///< Half a block is unused on average.
+    static constexpr double unused_tokens_per_sequence =
+        8.0; ///< Half a block is unused on average.
 
-    true_state world_;
+    ground_truth truth_;
     std::mt19937_64 random_;
-    std::vector<std::pair<std::uint32_t, std::uint32_t>> futures_;
+    std::vector<std::pair<std::uint32_t, std::uint32_t>> remaining_;
 };
 
 } // namespace bench
--- a/bench/policy/scenario.hpp
+++ b/bench/policy/scenario.hpp
@@ -60,36 +60,38 @@
     /// \brief Tokens a second of one engine that 1x stands for.
     static constexpr double engine_tokens = 1200.0;
 
-    explicit demand_source(scenario const& what) : random_{what.seed * 7919 + 17}, what_{what}
+    explicit demand_source(scenario const& chosen)
+        : random_{chosen.seed * 7919 + 17}, scenario_{chosen}
     {
         double mean = 0.0;
         for (std::uint32_t i = 0; i < customers; ++i)
         {
-            mean += part[i] * factor[i];
+            mean += customer_shares[i] * length_factors[i];
         }
         for (std::uint32_t i = 0; i < customers; ++i)
         {
-            scale_.push_back(factor[i] / mean);
+            length_scales_.push_back(length_factors[i] / mean);
         }
-        rate_ = what.load * what.engines * engine_tokens / mean_tokens;
+        rate_ = chosen.load * chosen.engines * engine_tokens / mean_tokens;
     }
 
     /// \brief Returns the seconds to the next request.
-    [[nodiscard]] double pause(double now)
+    [[nodiscard]] double interarrival_seconds(double now)
     {
-        return std::exponential_distribution<double>{rate_ * (1.0 + extra(now))}(random_);
+        return std::exponential_distribution<double>{rate_ * (1.0 + burst_demand(now))}(random_);
     }
 
     [[nodiscard]] demand next(double now)
     {
         demand one;
-        bool const of_burst = uniform() * (1.0 + extra(now)) < extra(now);
-        one.customer = of_burst ? burst_customer : pick();
-        one.question = uniform() < question_part;
+        bool const of_burst = uniform() * (1.0 + burst_demand(now)) < burst_demand(now);
+        one.customer = of_burst ? burst_customer : draw_customer();
+        one.question = uniform() < question_share;
         std::lognormal_distribution<double> const spread{-0.5 * sigma * sigma, sigma};
-        double const mean = one.question ? question_mean : draft_mean * scale_[one.customer];
+        double const mean =
+            one.question ? question_mean : draft_mean * length_scales_[one.customer];
         double const length = mean * std::lognormal_distribution<double>{spread}(random_);
-        one.length = static_cast<std::uint32_t>(std::min(std::max(length, 2.0), longest));
+        one.length = static_cast<std::uint32_t>(std::min(std::max(length, 2.0), max_length));
         one.prompt = static_cast<std::uint32_t>(one.question ? 150 + 300 * uniform()
                                                              : 200 + 600 * uniform());
         return one;
@@ -102,28 +104,29 @@
     static constexpr std::uint32_t burst_customer = 3;
 
 private:
-    static constexpr double question_part = 0.7;
+    static constexpr double question_share = 0.7;
     static constexpr double question_mean = 65.0;
     static constexpr double draft_mean = 2000.0;
     static constexpr double sigma = 0.7;
-    static constexpr double longest = 16'000.0;
+    static constexpr double max_length = 16'000.0;
     static constexpr double mean_tokens =
-        question_part * question_mean + (1.0 - question_part) * draft_mean;
-    static constexpr double part[customers] = {0.28, 0.22, 0.15, 0.09, 0.07,
-                                               0.06, 0.05, 0.04, 0.02, 0.02};
-    static constexpr double factor[customers] = {1.0, 0.5, 1.6, 0.8, 2.2, 0.4, 1.2, 0.7, 1.0, 1.5};
+        question_share * question_mean + (1.0 - question_share) * draft_mean;
+    static constexpr double customer_shares[customers] = {0.28, 0.22, 0.15, 0.09, 0.07,
+                                                          0.06, 0.05, 0.04, 0.02, 0.02};
+    static constexpr double length_factors[customers] = {1.0, 0.5, 1.6, 0.8, 2.2,
+                                                         0.4, 1.2, 0.7, 1.0, 1.5};
 
     [[nodiscard]] double uniform()
     {
         return std::uniform_real_distribution<double>{}(random_);
     }
 
-    [[nodiscard]] std::uint32_t pick()
+    [[nodiscard]] std::uint32_t draw_customer()
     {
         double left = uniform();
         for (std::uint32_t i = 0; i + 1 < customers; ++i)
         {
-            left -= part[i];
+            left -= customer_shares[i];
             if (left < 0.0)
             {
                 return i;
@@ -133,15 +136,15 @@
     }
 
     /// \brief Returns the burst's demand in multiples of the ordinary one.
-    [[nodiscard]] double extra(double now) const
+    [[nodiscard]] double burst_demand(double now) const
     {
-        bool const on = what_.fault == fault_kind::burst && now > what_.fault_at;
-        return on ? std::min(1.0, (now - what_.fault_at) / 60.0) * 9.0 : 0.0;
+        bool const on = scenario_.fault == fault_kind::burst && now > scenario_.fault_at;
+        return on ? std::min(1.0, (now - scenario_.fault_at) / 60.0) * 9.0 : 0.0;
     }
 
     std::mt19937_64 random_;
-    scenario const& what_;
-    std::vector<double> scale_;
+    scenario const& scenario_;
+    std::vector<double> length_scales_;
     double rate_ = 0.0;
 };
 
--- a/tests/faults/control_cells.cpp
+++ b/tests/faults/control_cells.cpp
@@ -18,77 +18,77 @@
 constexpr std::size_t node_count = 6;
 constexpr std::size_t zone_count = 3;
 constexpr std::uint64_t engine_count = 4;
-constexpr state::duration settled = 9s;
+constexpr state::duration settling_time = 9s;
 
 /// \brief One row of the matrix: brings the fleet to the step and returns within it.
 struct control_step
 {
     std::string_view name;
-    void (*reach)(control_scene&);
+    void (*reach)(control_scenario&);
 };
 
 // -- steps -------------------------------------------------------------------------------------
 
-[[nodiscard]] state::duration within(control_scene& scene, state::duration longest)
+[[nodiscard]] state::duration random_duration(control_scenario& scenario, state::duration longest)
 {
     auto const most = static_cast<std::uint64_t>(longest.count());
-    return state::duration{static_cast<state::duration::rep>(scene.random() % most)};
+    return state::duration{static_cast<state::duration::rep>(scenario.random() % most)};
 }
 
-void publish_switch(control_scene& scene)
+void publish_switch(control_scenario& scenario)
 {
-    scene.loop.publish(20, switch_published{20, preset_named("peak")});
-    scene.expected = "peak";
+    scenario.loop.publish(20, switch_published{20, preset_named("peak")});
+    scenario.expected = "peak";
 }
 
-void preset_read(control_scene& scene)
+void preset_read(control_scenario& scenario)
 {
-    publish_switch(scene);
-    scene.checker.step(within(scene, 3ms));
+    publish_switch(scenario);
+    scenario.checker.step(random_duration(scenario, 3ms));
 }
 
-void preset_spread(control_scene& scene)
+void preset_spread(control_scenario& scenario)
 {
-    publish_switch(scene);
-    scene.checker.step(3ms + within(scene, 300ms));
+    publish_switch(scenario);
+    scenario.checker.step(3ms + random_duration(scenario, 300ms));
 }
 
-void preset_accepted(control_scene& scene)
+void preset_accepted(control_scenario& scenario)
 {
-    scene.loop.platform.down = true;
-    scene.checker.step(6s);
-    scene.ask(scene.node, 1, "peak");
-    scene.checker.step(2s);
-    scene.expected = scene.accepted(1) ? "peak" : "";
-    scene.loop.platform.down = false;
+    scenario.loop.platform.down = true;
+    scenario.checker.step(6s);
+    scenario.request_switch(scenario.node, 1, "peak");
+    scenario.checker.step(2s);
+    scenario.expected = scenario.accepted(1) ? "peak" : "";
+    scenario.loop.platform.down = false;
 }
 
-void member_joining(control_scene& scene)
+void member_joining(control_scenario& scenario)
 {
-    scene.loop.stop(scene.node);
-    scene.checker.step(within(scene, 4s));
-    scene.loop.start(scene.node);
-    scene.checker.step(within(scene, 600ms));
+    scenario.loop.stop(scenario.node);
+    scenario.checker.step(random_duration(scenario, 4s));
+    scenario.loop.start(scenario.node);
+    scenario.checker.step(random_duration(scenario, 600ms));
 }
 
-void member_leaving(control_scene& scene)
+void member_leaving(control_scenario& scenario)
 {
-    scene.loop.nodes()[scene.other].in_flight->store(1);
-    scene.loop.send(scene.other, drain_requested{});
-    scene.checker.step(1s + within(scene, 1s));
+    scenario.loop.nodes()[scenario.other].in_flight->store(1);
+    scenario.loop.send(scenario.other, drain_requested{});
+    scenario.checker.step(1s + random_duration(scenario, 1s));
 }
 
-void upstream_leaving_step(control_scene& scene)
+void upstream_leaving_step(control_scenario& scenario)
 {
-    scene.checker.record_leaving_mark();
-    scene.loop.send(scene.node, upstream_leaving{{1}, {1}});
-    scene.checker.step(200ms + within(scene, 300ms));
+    scenario.checker.record_leaving_mark();
+    scenario.loop.send(scenario.node, upstream_leaving{{1}, {1}});
+    scenario.checker.step(200ms + random_duration(scenario, 300ms));
 }
 
-void order_sent(control_scene& scene)
+void order_sent(control_scenario& scenario)
 {
-    publish_switch(scene);
-    scene.checker.step(within(scene, 6s));
+    publish_switch(scenario);
+    scenario.checker.step(random_duration(scenario, 6s));
 }
 
 constexpr std::array steps{
@@ -127,50 +127,50 @@
     }
 }
 
-void heal(control_scene& scene)
+void remove_faults(control_scenario& scenario)
 {
     for (std::size_t i = 0; i < node_count; ++i)
     {
-        if (scene.loop.nodes()[i].control == nullptr)
+        if (scenario.loop.nodes()[i].control == nullptr)
         {
-            scene.loop.start(i);
+            scenario.loop.start(i);
         }
     }
-    scene.loop.loss = 0;
-    scene.loop.connected = [](std::size_t, std::size_t)
+    scenario.loop.loss = 0;
+    scenario.loop.connected = [](std::size_t, std::size_t)
     {
         return true;
     };
-    scene.loop.platform.down = false;
-    scene.loop.platform.visible_revision = UINT64_MAX;
-    scene.loop.platform.disconnected_zones.clear();
-    scene.loop.notify_watchers();
-    scene.checker.step(40s);
+    scenario.loop.platform.down = false;
+    scenario.loop.platform.visible_revision = UINT64_MAX;
+    scenario.loop.platform.disconnected_zones.clear();
+    scenario.loop.notify_watchers();
+    scenario.checker.step(40s);
 }
 
-[[nodiscard]] bool has_drained(control_scene const& scene)
+[[nodiscard]] bool has_drained(control_scenario const& scenario)
 {
-    auto const& nodes = scene.loop.nodes();
+    auto const& nodes = scenario.loop.nodes();
     return std::any_of(nodes.begin(), nodes.end(),
                        [](testing::node_model const& node) { return node.finished; });
 }
 
 // Engines follow the preset in force, and none was sent back to an older order on the way.
-void check_orders(control_scene& scene)
+void check_orders(control_scenario& scenario)
 {
-    auto const fleet = scene.loop.fleet(0);
+    auto const fleet = scenario.loop.fleet(0);
     std::map<state::upstream_id, std::uint64_t> newest;
-    for (auto const& [node, sent] : scene.loop.orders)
+    for (auto const& [node, sent] : scenario.loop.orders)
     {
         std::uint64_t& fence = newest[sent.upstream];
-        scene.checker.found.wrong_orders += sent.order.fence < fence ? 1 : 0;
-        scene.checker.found.wrong_orders += sent.order.fence == 0 ? 1 : 0;
+        scenario.checker.found.wrong_orders += sent.order.fence < fence ? 1 : 0;
+        scenario.checker.found.wrong_orders += sent.order.fence == 0 ? 1 : 0;
         fence = std::max(fence, sent.order.fence);
     }
     for (std::uint64_t i = 1; i <= engine_count; ++i)
     {
-        bool const follows = scene.loop.engines[{i}].version == fleet->preset.name;
-        scene.checker.found.wrong_orders += follows ? 0 : 1;
+        bool const follows = scenario.loop.engines[{i}].version == fleet->preset.name;
+        scenario.checker.found.wrong_orders += follows ? 0 : 1;
     }
 }
 
@@ -213,26 +213,27 @@
     loop.engine_delay = 300ms;
     testing::publish_base_configuration(loop);
     publish_engines(loop);
-    checker.step(settled);
-    control_scene scene{loop, checker, random, 1 + random() % 2, 3 + random() % 3, {}};
-    step.reach(scene);
+    checker.step(settling_time);
+    control_scenario scenario{loop, checker, random, 1 + random() % 2, 3 + random() % 3, {}};
+    step.reach(scenario);
     for (control_fault const* const fault : faults)
     {
-        fault->strike(scene);
+        fault->inject(scenario);
     }
-    heal(scene);
+    remove_faults(scenario);
     checker.check_final_state();
-    check_orders(scene);
+    check_orders(scenario);
     // What is in flight ends at last; then a drain has to end too.
-    bool const drains = step.reach == &member_leaving && scene.loop.fleet(scene.other)->draining;
+    bool const drains =
+        step.reach == &member_leaving && scenario.loop.fleet(scenario.other)->draining;
     if (drains)
     {
-        loop.nodes()[scene.other].in_flight->store(0);
+        loop.nodes()[scenario.other].in_flight->store(0);
         checker.step(1s);
-        checker.found.requests_cut_by_drain += has_drained(scene) ? 0 : 1;
+        checker.found.requests_cut_by_drain += has_drained(scenario) ? 0 : 1;
     }
-    bool const unexpected =
-        !scene.expected.empty() && loop.fleet(0)->in_force.preset != preset_named(scene.expected);
+    bool const unexpected = !scenario.expected.empty() &&
+                            loop.fleet(0)->in_force.preset != preset_named(scenario.expected);
     return describe(checker.found, unexpected);
 }
 
@@ -246,7 +247,7 @@
     testing::fleet_loop loop{node_count, zone_count, seed, settings};
     testing::control_checker checker{loop};
     testing::publish_base_configuration(loop);
-    checker.step(settled);
+    checker.step(settling_time);
     peer_message forged;
     forged.sender = loop.nodes()[3].settings.self;
     forged.stamp = {1'000, 0, 0, preset_named("maintenance")};
--- a/tests/faults/control_faults.cpp
+++ b/tests/faults/control_faults.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 using namespace coordination;
 
-bool control_scene::accepted(std::uint64_t exchange) const
+bool control_scenario::accepted(std::uint64_t exchange) const
 {
     return std::any_of(loop.answers.begin(), loop.answers.end(),
                        [exchange](auto const& each)
@@ -23,9 +23,9 @@
 {
 
 /// \brief Returns whether the process that is meant lives, not one before it at its address.
-[[nodiscard]] bool runs(control_scene const& scene, state::member const& member)
+[[nodiscard]] bool is_running(control_scenario const& scenario, state::member const& member)
 {
-    auto const& nodes = scene.loop.nodes();
+    auto const& nodes = scenario.loop.nodes();
     return std::any_of(nodes.begin(), nodes.end(),
                        [&member](testing::node_model const& node)
                        {
@@ -37,188 +37,189 @@
 }
 
 // Engines come back empty, and remember no order.
-void engine_dies(control_scene& scene)
+void engine_dies(control_scenario& scenario)
 {
-    scene.checker.step(10s);
-    scene.loop.engines.clear();
+    scenario.checker.step(10s);
+    scenario.loop.engines.clear();
 }
 
-void vm_dies(control_scene& scene)
+void vm_dies(control_scenario& scenario)
 {
-    scene.loop.stop(scene.node);
+    scenario.loop.stop(scenario.node);
 }
 
-void vm_pauses(control_scene& scene)
+void vm_pauses(control_scenario& scenario)
 {
-    scene.loop.pause(scene.node);
-    scene.checker.step(10s);
-    scene.loop.wake(scene.node, scene.random() % 2 == 0);
+    scenario.loop.pause(scenario.node);
+    scenario.checker.step(10s);
+    scenario.loop.wake(scenario.node, scenario.random() % 2 == 0);
 }
 
 // What was in its sockets is lost, and for a second after it woke it hears nobody.
-void wakes_cut_off(control_scene& scene)
+void wakes_cut_off(control_scenario& scenario)
 {
-    scene.loop.pause(scene.node);
-    scene.checker.step(10s);
-    scene.loop.nodes()[scene.node].buffered_events.clear();
-    scene.loop.loss = 1;
-    scene.loop.wake(scene.node, scene.random() % 2 == 0);
-    scene.checker.step(1s);
-    scene.loop.loss = 0;
-    scene.checker.step(5s);
+    scenario.loop.pause(scenario.node);
+    scenario.checker.step(10s);
+    scenario.loop.nodes()[scenario.node].buffered_events.clear();
+    scenario.loop.loss = 1;
+    scenario.loop.wake(scenario.node, scenario.random() % 2 == 0);
+    scenario.checker.step(1s);
+    scenario.loop.loss = 0;
+    scenario.checker.step(5s);
 }
 
-void sleeps_through_switch(control_scene& scene)
+void sleeps_through_switch(control_scenario& scenario)
 {
-    scene.loop.pause(scene.node);
-    scene.loop.platform.visible_revision = UINT64_MAX;
-    scene.loop.publish(30, switch_published{30, testing::preset_named("maintenance")});
-    scene.expected = "maintenance";
-    scene.checker.step(10s);
-    scene.loop.wake(scene.node, false);
+    scenario.loop.pause(scenario.node);
+    scenario.loop.platform.visible_revision = UINT64_MAX;
+    scenario.loop.publish(30, switch_published{30, testing::preset_named("maintenance")});
+    scenario.expected = "maintenance";
+    scenario.checker.step(10s);
+    scenario.loop.wake(scenario.node, false);
 }
 
-void vm_restarts_empty(control_scene& scene)
+void vm_restarts_empty(control_scenario& scenario)
 {
-    scene.loop.stop(scene.node);
-    scene.checker.step(std::chrono::milliseconds{scene.random() % 4'000});
-    scene.loop.start(scene.node);
+    scenario.loop.stop(scenario.node);
+    scenario.checker.step(std::chrono::milliseconds{scenario.random() % 4'000});
+    scenario.loop.start(scenario.node);
 }
 
 // The new process hears nobody for a second, while the service answers, with what it had before.
-void starts_cut_off(control_scene& scene)
+void starts_cut_off(control_scenario& scenario)
 {
-    scene.loop.platform.visible_revision =
-        std::min<std::uint64_t>(scene.loop.platform.visible_revision, 6);
-    scene.loop.stop(scene.other);
-    scene.checker.step(4s);
-    scene.loop.loss = 1;
-    scene.loop.start(scene.other);
-    scene.checker.step(1s);
-    scene.loop.loss = 0;
-    scene.checker.step(10s);
+    scenario.loop.platform.visible_revision =
+        std::min<std::uint64_t>(scenario.loop.platform.visible_revision, 6);
+    scenario.loop.stop(scenario.other);
+    scenario.checker.step(4s);
+    scenario.loop.loss = 1;
+    scenario.loop.start(scenario.other);
+    scenario.checker.step(1s);
+    scenario.loop.loss = 0;
+    scenario.checker.step(10s);
 }
 
-void address_taken(control_scene& scene)
+void address_taken(control_scenario& scenario)
 {
-    scene.loop.stop(scene.node);
-    scene.loop.start(scene.node);
-    scene.checker.step(5s);
+    scenario.loop.stop(scenario.node);
+    scenario.loop.start(scenario.node);
+    scenario.checker.step(5s);
     // News of the process before is still on its way.
     peer_message message;
-    message.sender = scene.loop.nodes()[scene.other].settings.self;
-    message.members = {scene.loop.nodes()[scene.node].settings.self};
+    message.sender = scenario.loop.nodes()[scenario.other].settings.self;
+    message.members = {scenario.loop.nodes()[scenario.node].settings.self};
     message.members[0].incarnation_number.value -= 1;
     message.members[0].health = state::member_health::dead;
-    scene.loop.send(0, datagram_received{scene.loop.endpoint_of(scene.other), message});
-    scene.checker.step(40ms);
-    auto const fleet = scene.loop.fleet(0);
-    auto const* const member = fleet->find_member(scene.loop.id_of(scene.node));
-    bool const fooled = member == nullptr || member->health == state::member_health::dead;
-    scene.checker.found.members_not_alive += fooled ? 1 : 0;
+    scenario.loop.send(0, datagram_received{scenario.loop.endpoint_of(scenario.other), message});
+    scenario.checker.step(40ms);
+    auto const fleet = scenario.loop.fleet(0);
+    auto const* const member = fleet->find_member(scenario.loop.id_of(scenario.node));
+    bool const accepted_stale_death =
+        member == nullptr || member->health == state::member_health::dead;
+    scenario.checker.found.members_not_alive += accepted_stale_death ? 1 : 0;
 }
 
-void link_stalls(control_scene& scene)
+void link_stalls(control_scenario& scenario)
 {
-    scene.checker.network_reliable = false;
-    scene.loop.loss = 1;
-    scene.checker.step(1300ms);
-    scene.loop.loss = 0;
+    scenario.checker.network_reliable = false;
+    scenario.loop.loss = 1;
+    scenario.checker.step(1300ms);
+    scenario.loop.loss = 0;
     for (int i = 0; i < 50; ++i)
     {
-        scene.checker.step(100ms);
-        for (std::size_t at = 0; at < scene.loop.nodes().size(); ++at)
+        scenario.checker.step(100ms);
+        for (std::size_t at = 0; at < scenario.loop.nodes().size(); ++at)
         {
-            auto const fleet = scene.loop.fleet(at);
+            auto const fleet = scenario.loop.fleet(at);
             // A stall shorter than the time to refute kills nobody.
-            scene.checker.found.members_not_alive += static_cast<std::size_t>(
+            scenario.checker.found.members_not_alive += static_cast<std::size_t>(
                 std::count_if(fleet->members.begin(), fleet->members.end(),
                               [&](state::member const& each)
                               {
-                                  return scene.loop.alive(at) && runs(scene, each) &&
+                                  return scenario.loop.alive(at) && is_running(scenario, each) &&
                                          each.health == state::member_health::dead;
                               }));
         }
     }
 }
 
-void zone_cut(control_scene& scene)
+void zone_cut(control_scenario& scenario)
 {
-    scene.checker.network_reliable = false;
-    std::size_t const cut = scene.random() % 3;
-    scene.loop.connected = [cut](std::size_t a, std::size_t b)
+    scenario.checker.network_reliable = false;
+    std::size_t const cut = scenario.random() % 3;
+    scenario.loop.connected = [cut](std::size_t a, std::size_t b)
     {
         return (a == cut) == (b == cut);
     };
-    scene.loop.platform.disconnected_zones = {cut};
-    scene.checker.step(20s);
+    scenario.loop.platform.disconnected_zones = {cut};
+    scenario.checker.step(20s);
 }
 
-void loses_datagrams(control_scene& scene)
+void loses_datagrams(control_scenario& scenario)
 {
-    scene.loop.loss = 0.1;
-    scene.checker.step(10s);
+    scenario.loop.loss = 0.1;
+    scenario.checker.step(10s);
 }
 
-void platform_down(control_scene& scene)
+void platform_down(control_scenario& scenario)
 {
-    scene.loop.platform.down = true;
-    scene.checker.step(20s);
+    scenario.loop.platform.down = true;
+    scenario.checker.step(20s);
 }
 
 // It comes back with the revision from before, as restored from a copy.
-void platform_stale(control_scene& scene)
+void platform_stale(control_scenario& scenario)
 {
-    scene.loop.platform.down = true;
-    scene.checker.step(15s);
-    scene.loop.platform.visible_revision = 6;
-    scene.loop.platform.down = false;
-    scene.loop.stop(scene.other);
-    scene.loop.start(scene.other);
-    scene.checker.step(15s);
+    scenario.loop.platform.down = true;
+    scenario.checker.step(15s);
+    scenario.loop.platform.visible_revision = 6;
+    scenario.loop.platform.down = false;
+    scenario.loop.stop(scenario.other);
+    scenario.loop.start(scenario.other);
+    scenario.checker.step(15s);
 }
 
 // A revision was published just before the outage and read by nobody.
-void published_unseen(control_scene& scene)
+void published_unseen(control_scenario& scenario)
 {
     constexpr std::uint64_t revision = 90;
-    scene.loop.platform.down = true;
-    scene.loop.platform.published[revision] =
+    scenario.loop.platform.down = true;
+    scenario.loop.platform.published[revision] =
         switch_published{revision, testing::preset_named("ordinary")};
-    scene.checker.step(45s);
-    scene.ask(scene.other, 2, "maintenance");
-    scene.checker.step(5s);
-    scene.expected = scene.accepted(2) ? "maintenance" : "";
+    scenario.checker.step(45s);
+    scenario.request_switch(scenario.other, 2, "maintenance");
+    scenario.checker.step(5s);
+    scenario.expected = scenario.accepted(2) ? "maintenance" : "";
 }
 
-void operators_race(control_scene& scene)
+void operators_race(control_scenario& scenario)
 {
-    scene.ask(0, 2, "maintenance");
-    scene.ask(4, 3, "ordinary");
-    scene.checker.step(5s);
-    scene.expected.clear();
+    scenario.request_switch(0, 2, "maintenance");
+    scenario.request_switch(4, 3, "ordinary");
+    scenario.checker.step(5s);
+    scenario.expected.clear();
     // A switch published at the same moment may win over both; then both are told.
-    std::size_t const accepted = (scene.accepted(2) ? 1 : 0) + (scene.accepted(3) ? 1 : 0);
-    std::size_t const won = scene.loop.fleet(0)->in_force.count > 0 ? 1 : 0;
-    scene.checker.found.lost_switches += accepted == won ? 0 : 1;
+    std::size_t const accepted = (scenario.accepted(2) ? 1 : 0) + (scenario.accepted(3) ? 1 : 0);
+    std::size_t const won = scenario.loop.fleet(0)->in_force.count > 0 ? 1 : 0;
+    scenario.checker.found.lost_switches += accepted == won ? 0 : 1;
 }
 
 // The VM that takes the switch reaches nobody, and dies as soon as it answered.
-void cut_off_and_dies(control_scene& scene)
+void cut_off_and_dies(control_scenario& scenario)
 {
-    scene.checker.network_reliable = false;
-    scene.loop.loss = 1;
-    scene.ask(scene.node, 2, "maintenance");
-    scene.checker.step(2s);
-    scene.expected = scene.accepted(2) ? "maintenance" : "";
-    scene.loop.stop(scene.node);
-    scene.loop.loss = 0;
+    scenario.checker.network_reliable = false;
+    scenario.loop.loss = 1;
+    scenario.request_switch(scenario.node, 2, "maintenance");
+    scenario.checker.step(2s);
+    scenario.expected = scenario.accepted(2) ? "maintenance" : "";
+    scenario.loop.stop(scenario.node);
+    scenario.loop.loss = 0;
 }
 
-void list_lags(control_scene& scene)
+void list_lags(control_scenario& scenario)
 {
-    scene.loop.platform.list.entry_vms.push_back(scene.loop.endpoint_of(77));
-    scene.checker.step(20s);
+    scenario.loop.platform.list.entry_vms.push_back(scenario.loop.endpoint_of(77));
+    scenario.checker.step(20s);
 }
 
 constexpr std::array all{
--- a/tests/faults/control_faults.hpp
+++ b/tests/faults/control_faults.hpp
@@ -15,7 +15,7 @@
 {
 
 /// \brief A fleet at some step, and the nodes that the fault is aimed at.
-struct control_scene
+struct control_scenario
 {
     testing::fleet_loop& loop;
     testing::control_checker& checker;
@@ -26,13 +26,14 @@
     /// \brief A preset that has to be in force in the end; none when the fault may decide.
     std::string expected;
 
-    void ask(std::size_t at, std::uint64_t exchange, std::string const& preset)
+    void request_switch(std::size_t at, std::uint64_t exchange, std::string const& preset)
     {
         checker.record_switch_request(exchange, at);
-        auto const who = static_cast<std::uint8_t>(exchange);
-        loop.send(at,
-                  coordination::operator_switch{
-                      {exchange}, testing::operator_key(who), testing::preset_named(preset), 0});
+        auto const operator_number = static_cast<std::uint8_t>(exchange);
+        loop.send(at, coordination::operator_switch{{exchange},
+                                                    testing::operator_key(operator_number),
+                                                    testing::preset_named(preset),
+                                                    0});
     }
     [[nodiscard]] bool accepted(std::uint64_t exchange) const;
 };
@@ -41,7 +42,7 @@
 struct control_fault
 {
     std::string_view name;
-    void (*strike)(control_scene&);
+    void (*inject)(control_scenario&);
 };
 
 [[nodiscard]] std::span<control_fault const> control_faults();
--- a/tests/faults/main.cpp
+++ b/tests/faults/main.cpp
@@ -34,7 +34,7 @@
 /// \brief How a cell came out.
 struct outcome
 {
-    cell const* where = nullptr;
+    cell const* tested_cell = nullptr;
     std::uint64_t seeds = 0;
     std::uint64_t failed = 0;
     std::uint64_t first_bad_seed = 0;
@@ -67,11 +67,11 @@
     return result;
 }
 
-std::string mark_of(outcome const& each)
+std::string result_text(outcome const& each)
 {
-    if (each.where->run == nullptr)
+    if (each.tested_cell->run == nullptr)
     {
-        return each.where->elsewhere.empty() ? "not run" : each.where->elsewhere;
+        return each.tested_cell->elsewhere.empty() ? "not run" : each.tested_cell->elsewhere;
     }
     std::string const of = std::to_string(each.seeds);
     return each.failed == 0 ? "ok " + of : "**" + std::to_string(each.failed) + " of " + of + "**";
@@ -85,16 +85,17 @@
     std::map<std::string, std::string> marks;
     for (outcome const& each : outcomes)
     {
-        cell const& where = *each.where;
-        if (std::find(step_names.begin(), step_names.end(), where.step) == step_names.end())
+        cell const& tested_cell = *each.tested_cell;
+        if (std::find(step_names.begin(), step_names.end(), tested_cell.step) == step_names.end())
         {
-            step_names.push_back(where.step);
+            step_names.push_back(tested_cell.step);
         }
-        if (std::find(fault_names.begin(), fault_names.end(), where.fault) == fault_names.end())
+        if (std::find(fault_names.begin(), fault_names.end(), tested_cell.fault) ==
+            fault_names.end())
         {
-            fault_names.push_back(where.fault);
+            fault_names.push_back(tested_cell.fault);
         }
-        marks[name_of(where)] = mark_of(each);
+        marks[name_of(tested_cell)] = result_text(each);
     }
     page << "| fault |";
     for (std::string const& step : step_names)
@@ -128,11 +129,11 @@
         failed += each.failed != 0 ? 1 : 0;
         if (each.failed != 0)
         {
-            std::printf("%s: %llu of %llu seeds fail, first %llu: %s\n",
-                        name_of(*each.where).c_str(), static_cast<unsigned long long>(each.failed),
-                        static_cast<unsigned long long>(each.seeds),
-                        static_cast<unsigned long long>(each.first_bad_seed),
-                        each.first_violation.c_str());
+            std::printf(
+                "%s: %llu of %llu seeds fail, first %llu: %s\n", name_of(*each.tested_cell).c_str(),
+                static_cast<unsigned long long>(each.failed),
+                static_cast<unsigned long long>(each.seeds),
+                static_cast<unsigned long long>(each.first_bad_seed), each.first_violation.c_str());
         }
     }
     return failed;
--- a/tests/faults/request_cells.cpp
+++ b/tests/faults/request_cells.cpp
@@ -20,14 +20,14 @@
 struct request_step
 {
     std::string_view name;
-    bool (*reached)(request_fleet const& fleet, order const& aimed);
+    bool (*reached)(request_fleet const& fleet, order const& target_order);
 };
 
-engine_run const* run_of(request_fleet const& fleet, order const& aimed)
+engine_run const* run_of(request_fleet const& fleet, order const& target_order)
 {
     auto const found =
         std::find_if(fleet.runs.begin(), fleet.runs.end(),
-                     [&](engine_run const& run) { return run.request == aimed.name; });
+                     [&](engine_run const& run) { return run.request == target_order.name; });
     return found == fleet.runs.end() ? nullptr : &*found;
 }
 
@@ -36,37 +36,37 @@
     return true;
 }
 
-bool reserved(request_fleet const& /*fleet*/, order const& aimed)
+bool reserved(request_fleet const& /*fleet*/, order const& target_order)
 {
-    return static_cast<bool>(aimed.generation);
+    return static_cast<bool>(target_order.generation);
 }
 
-bool dispatched(request_fleet const& fleet, order const& aimed)
+bool dispatched(request_fleet const& fleet, order const& target_order)
 {
-    return run_of(fleet, aimed) != nullptr;
+    return run_of(fleet, target_order) != nullptr;
 }
 
-bool first_token(request_fleet const& fleet, order const& aimed)
+bool first_token(request_fleet const& fleet, order const& target_order)
 {
-    engine_run const* const run = run_of(fleet, aimed);
-    return run != nullptr && run->made >= 1;
+    engine_run const* const run = run_of(fleet, target_order);
+    return run != nullptr && run->generated >= 1;
 }
 
-bool mid_stream(request_fleet const& fleet, order const& aimed)
+bool mid_stream(request_fleet const& fleet, order const& target_order)
 {
-    engine_run const* const run = run_of(fleet, aimed);
-    return run != nullptr && run->made >= run->length / 2;
+    engine_run const* const run = run_of(fleet, target_order);
+    return run != nullptr && run->generated >= run->length / 2;
 }
 
-bool last_token(request_fleet const& fleet, order const& aimed)
+bool last_token(request_fleet const& fleet, order const& target_order)
 {
-    engine_run const* const run = run_of(fleet, aimed);
-    return run != nullptr && run->made == run->length;
+    engine_run const* const run = run_of(fleet, target_order);
+    return run != nullptr && run->generated == run->length;
 }
 
-bool delivered(request_fleet const& /*fleet*/, order const& aimed)
+bool delivered(request_fleet const& /*fleet*/, order const& target_order)
 {
-    return aimed.ended;
+    return target_order.ended;
 }
 
 constexpr std::string_view drained_step = "drained";
@@ -83,7 +83,7 @@
 
 /// \brief Longer than keys are remembered, so that no VM counts as fresh.
 constexpr duration warm_up = 66s;
-constexpr std::size_t bystanders = 9;
+constexpr std::size_t background_orders = 9;
 
 /// \brief A cell's run: ten orders, the faults when the first has come to the step, then ten more.
 class request_cell_run
@@ -101,16 +101,16 @@
         fleet_.loop.after(warm_up, [this] { begin(); });
         fleet_.loop.run_until(fleet_.loop.now() + warm_up + 150s);
         callers_.check();
-        bool const all_whole =
-            faults_.size() == 1 && faults_.front()->all_whole && step_.name != drained_step;
-        if (all_whole && callers_.whole() != callers_.orders.size())
+        bool const expects_all_whole =
+            faults_.size() == 1 && faults_.front()->expects_all_whole && step_.name != drained_step;
+        if (expects_all_whole && callers_.whole() != callers_.orders.size())
         {
             for (order const& each : callers_.orders)
             {
                 if (!each.whole)
                 {
-                    callers_.violate(each.name + ": not whole though nothing failed, " +
-                                     checked_callers::description(each));
+                    callers_.add_violation(each.name + ": not whole though nothing failed, " +
+                                           checked_callers::description(each));
                 }
             }
         }
@@ -122,8 +122,8 @@
     {
         bool const reserves = step_.name == reserved_step;
         order_kind const kind = reserves ? order_kind::reserved_draft : any_kind();
-        aim_ = begin_order(kind, reserves ? 500ms : 0ms);
-        some_orders();
+        target_index_ = begin_order(kind, reserves ? 500ms : 0ms);
+        begin_background_orders();
         await_step(20'000);
     }
 
@@ -133,14 +133,14 @@
                                        static_cast<std::size_t>(order_kind::count));
     }
 
-    std::size_t begin_order(order_kind kind, duration run_after)
+    std::size_t begin_order(order_kind kind, duration run_delay)
     {
         bool const numbered = fleet_.random() % 2 == 0;
         return callers_.begin(kind, fleet_.random() % fleet_.nodes.size(),
                               [&](order& each)
                               {
                                   each.numbered = numbered;
-                                  each.run_after = run_after;
+                                  each.run_delay = run_delay;
                                   for (request_fault const* fault : faults_)
                                   {
                                       if (fault->prepare != nullptr)
@@ -151,9 +151,9 @@
                               });
     }
 
-    void some_orders()
+    void begin_background_orders()
     {
-        for (std::size_t i = 0; i < bystanders; ++i)
+        for (std::size_t i = 0; i < background_orders; ++i)
         {
             fleet_.loop.after(std::chrono::milliseconds{fleet_.random() % 600},
                               [this] { begin_order(any_kind(), {}); });
@@ -162,28 +162,28 @@
 
     void await_step(int left)
     {
-        if (left > 0 && !step_.reached(fleet_, callers_.orders[aim_]))
+        if (left > 0 && !step_.reached(fleet_, callers_.orders[target_index_]))
         {
             return fleet_.loop.after(1ms, [this, left] { await_step(left - 1); });
         }
         if (step_.name == drained_step)
         {
-            fleet_.drain_node(callers_.orders[aim_].node);
+            fleet_.drain_node(callers_.orders[target_index_].node);
         }
         for (request_fault const* fault : faults_)
         {
             fleet_.loop.after(std::chrono::milliseconds{fleet_.random() % 100},
                               [this, fault] {
-                                  fault->strike({fleet_, callers_, aim_});
+                                  fault->inject({fleet_, callers_, target_index_});
                               });
         }
         // Callers who lost patience, and others who come only now.
-        repeat_later(aim_);
+        repeat_later(target_index_);
         fleet_.loop.after(std::chrono::milliseconds{fleet_.random() % 12'000},
                           [this]
                           {
                               std::size_t const first = callers_.orders.size();
-                              some_orders();
+                              begin_background_orders();
                               fleet_.loop.after(1s,
                                                 [this, first]
                                                 {
@@ -200,10 +200,9 @@
     {
         if (fleet_.random() % 2 == 0)
         {
-            fleet_.loop.after(std::chrono::milliseconds{1 + fleet_.random() % 5000},
-                              [this, which] {
-                                  callers_.run_twice(which, fleet_.random() % fleet_.nodes.size());
-                              });
+            fleet_.loop.after(
+                std::chrono::milliseconds{1 + fleet_.random() % 5000}, [this, which]
+                { callers_.send_duplicate(which, fleet_.random() % fleet_.nodes.size()); });
         }
     }
 
@@ -211,7 +210,7 @@
     std::span<request_fault const* const> faults_;
     checked_callers callers_;
     request_fleet fleet_;
-    std::size_t aim_ = 0;
+    std::size_t target_index_ = 0;
 };
 
 cell make_cell(request_step const& step, std::vector<request_fault const*> faults, std::string name)
--- a/tests/faults/request_faults.cpp
+++ b/tests/faults/request_faults.cpp
@@ -8,15 +8,15 @@
 
 using namespace test;
 
-std::size_t scene::vm() const
+std::size_t request_scenario::entry_vm() const
 {
-    order const& aimed = target();
-    std::uint64_t const owner = aimed.generation.owner.value;
+    order const& target_order = target();
+    std::uint64_t const owner = target_order.generation.owner.value;
     bool const owned = owner >= 100 && owner - 100 < fleet.nodes.size();
-    return owned && fleet.random() % 2 == 0 ? owner - 100 : aimed.node;
+    return owned && fleet.random() % 2 == 0 ? owner - 100 : target_order.node;
 }
 
-std::size_t scene::engine() const
+std::size_t request_scenario::engine() const
 {
     for (auto run = fleet.runs.rbegin(); run != fleet.runs.rend(); ++run)
     {
@@ -33,177 +33,188 @@
 
 // -- upstreams ------------------------------------------------------------------------------------
 
-void engine_dies(scene const& at)
+void engine_dies(request_scenario const& scenario)
 {
-    std::size_t const engine = at.engine();
-    at.fleet.stop_engine(engine);
-    at.fleet.loop.after(at.up_to(9s),
-                        [&fleet = at.fleet, engine] { fleet.engines[engine].alive = true; });
+    std::size_t const engine = scenario.engine();
+    scenario.fleet.stop_engine(engine);
+    scenario.fleet.loop.after(scenario.random_duration(9s), [&fleet = scenario.fleet, engine]
+                              { fleet.engines[engine].alive = true; });
 }
 
-void engine_reclaimed(scene const& at)
+void engine_reclaimed(request_scenario const& scenario)
 {
-    std::size_t const engine = at.engine();
-    at.fleet.engines[engine].leaving_since = at.fleet.loop.now();
-    at.fleet.loop.after(2s + at.up_to(2s),
-                        [&fleet = at.fleet, engine] { fleet.stop_engine(engine); });
+    std::size_t const engine = scenario.engine();
+    scenario.fleet.engines[engine].leaving_since = scenario.fleet.loop.now();
+    scenario.fleet.loop.after(2s + scenario.random_duration(2s),
+                              [&fleet = scenario.fleet, engine] { fleet.stop_engine(engine); });
 }
 
-void engine_refuses(scene const& at)
+void engine_refuses(request_scenario const& scenario)
 {
-    std::size_t const engine = at.engine();
-    at.fleet.engines[engine].refuses = true;
-    at.fleet.loop.after(at.up_to(9s),
-                        [&fleet = at.fleet, engine] { fleet.engines[engine].refuses = false; });
+    std::size_t const engine = scenario.engine();
+    scenario.fleet.engines[engine].refuses = true;
+    scenario.fleet.loop.after(scenario.random_duration(9s), [&fleet = scenario.fleet, engine]
+                              { fleet.engines[engine].refuses = false; });
 }
 
-void link_stalls(scene const& at)
+void link_stalls(request_scenario const& scenario)
 {
-    std::size_t const engine = at.engine();
-    at.fleet.engines[engine].stalled = true;
-    at.fleet.loop.after(200ms + at.up_to(8s),
-                        [&fleet = at.fleet, engine] { fleet.engines[engine].stalled = false; });
+    std::size_t const engine = scenario.engine();
+    scenario.fleet.engines[engine].stalled = true;
+    scenario.fleet.loop.after(200ms + scenario.random_duration(8s),
+                              [&fleet = scenario.fleet, engine]
+                              { fleet.engines[engine].stalled = false; });
 }
 
-void connection_silent(scene const& at)
+void connection_silent(request_scenario const& scenario)
 {
-    at.fleet.silence_engine(at.engine());
+    scenario.fleet.silence_engine(scenario.engine());
 }
 
-void wrong_tokens(scene const& at)
+void wrong_tokens(request_scenario const& scenario)
 {
-    at.fleet.wire = {0.05, 0.05, 0.03};
-    at.fleet.loop.after(5s, [&fleet = at.fleet] { fleet.wire = {}; });
+    scenario.fleet.wire = {0.05, 0.05, 0.03};
+    scenario.fleet.loop.after(5s, [&fleet = scenario.fleet] { fleet.wire = {}; });
 }
 
 // -- entry VMs ------------------------------------------------------------------------------------
 
-void vm_dies(scene const& at)
+void vm_dies(request_scenario const& scenario)
 {
-    std::size_t const vm = at.vm();
-    at.fleet.stop_node(vm);
-    at.fleet.loop.after(15s + at.up_to(10s), [&fleet = at.fleet, vm] { fleet.start_node(vm); });
+    std::size_t const entry_vm = scenario.entry_vm();
+    scenario.fleet.stop_node(entry_vm);
+    scenario.fleet.loop.after(15s + scenario.random_duration(10s),
+                              [&fleet = scenario.fleet, entry_vm] { fleet.start_node(entry_vm); });
 }
 
-void vm_restarts_empty(scene const& at)
+void vm_restarts_empty(request_scenario const& scenario)
 {
-    std::size_t const vm = at.vm();
-    at.fleet.stop_node(vm);
-    at.fleet.loop.after(at.up_to(2s), [&fleet = at.fleet, vm] { fleet.start_node(vm); });
+    std::size_t const entry_vm = scenario.entry_vm();
+    scenario.fleet.stop_node(entry_vm);
+    scenario.fleet.loop.after(scenario.random_duration(2s),
+                              [&fleet = scenario.fleet, entry_vm] { fleet.start_node(entry_vm); });
 }
 
-void vm_pauses(scene const& at)
+void vm_pauses(request_scenario const& scenario)
 {
-    std::size_t const vm = at.vm();
-    std::uint64_t const life = at.fleet.nodes[vm].life;
-    at.fleet.nodes[vm].paused = true;
+    std::size_t const entry_vm = scenario.entry_vm();
+    std::uint64_t const life = scenario.fleet.nodes[entry_vm].life;
+    scenario.fleet.nodes[entry_vm].paused = true;
     // What the paused VM doesn't see: an engine that begins to leave.
-    std::size_t const engine = at.fleet.random() % at.fleet.engines.size();
-    at.fleet.engines[engine].leaving_since = at.fleet.loop.now();
-    at.fleet.loop.after(500ms + at.up_to(9s),
-                        [&fleet = at.fleet, vm, life]
-                        {
-                            if (fleet.nodes[vm].life == life)
-                            {
-                                fleet.wake_node(vm);
-                            }
-                        });
-}
-
-void vm_drains(scene const& at)
-{
-    std::size_t const vm = at.vm();
-    at.fleet.drain_node(vm);
-    at.fleet.loop.after(20s,
-                        [&fleet = at.fleet, vm]
-                        {
-                            if (!fleet.nodes[vm].alive)
-                            {
-                                fleet.start_node(vm);
-                            }
-                        });
+    std::size_t const engine = scenario.fleet.random() % scenario.fleet.engines.size();
+    scenario.fleet.engines[engine].leaving_since = scenario.fleet.loop.now();
+    scenario.fleet.loop.after(500ms + scenario.random_duration(9s),
+                              [&fleet = scenario.fleet, entry_vm, life]
+                              {
+                                  if (fleet.nodes[entry_vm].life == life)
+                                  {
+                                      fleet.wake_node(entry_vm);
+                                  }
+                              });
+}
+
+void vm_drains(request_scenario const& scenario)
+{
+    std::size_t const entry_vm = scenario.entry_vm();
+    scenario.fleet.drain_node(entry_vm);
+    scenario.fleet.loop.after(20s,
+                              [&fleet = scenario.fleet, entry_vm]
+                              {
+                                  if (!fleet.nodes[entry_vm].alive)
+                                  {
+                                      fleet.start_node(entry_vm);
+                                  }
+                              });
 }
 
 // -- zones and platform
 // -----------------------------------------------------------------------------
 
-void zone_cut(scene const& at)
+void zone_cut(request_scenario const& scenario)
 {
-    at.fleet.cut_zone = at.fleet.nodes[at.vm()].zone;
-    at.fleet.loop.after(1s + at.up_to(20s), [&fleet = at.fleet] { fleet.cut_zone.reset(); });
+    scenario.fleet.cut_zone = scenario.fleet.nodes[scenario.entry_vm()].zone;
+    scenario.fleet.loop.after(1s + scenario.random_duration(20s),
+                              [&fleet = scenario.fleet] { fleet.cut_zone.reset(); });
 }
 
-void vm_starts_cut_off(scene const& at)
+void vm_starts_cut_off(request_scenario const& scenario)
 {
-    std::size_t const vm = at.vm();
-    at.fleet.stop_node(vm);
-    at.fleet.cut_zone = at.fleet.nodes[vm].zone;
-    at.fleet.loop.after(at.up_to(2s), [&fleet = at.fleet, vm] { fleet.start_node(vm); });
-    at.fleet.loop.after(10s + at.up_to(10s), [&fleet = at.fleet] { fleet.cut_zone.reset(); });
+    std::size_t const entry_vm = scenario.entry_vm();
+    scenario.fleet.stop_node(entry_vm);
+    scenario.fleet.cut_zone = scenario.fleet.nodes[entry_vm].zone;
+    scenario.fleet.loop.after(scenario.random_duration(2s),
+                              [&fleet = scenario.fleet, entry_vm] { fleet.start_node(entry_vm); });
+    scenario.fleet.loop.after(10s + scenario.random_duration(10s),
+                              [&fleet = scenario.fleet] { fleet.cut_zone.reset(); });
 }
 
-void platform_down(scene const& at)
+void platform_down(request_scenario const& scenario)
 {
-    at.fleet.views_frozen = true;
+    scenario.fleet.upstream_list_frozen = true;
 }
 
-void platform_stale(scene const& at)
+void platform_stale(request_scenario const& scenario)
 {
-    at.fleet.views_frozen = true;
-    at.fleet.loop.after(at.up_to(20s), [&fleet = at.fleet] { fleet.views_frozen = false; });
+    scenario.fleet.upstream_list_frozen = true;
+    scenario.fleet.loop.after(scenario.random_duration(20s),
+                              [&fleet = scenario.fleet] { fleet.upstream_list_frozen = false; });
 }
 
-void list_lags(scene const& at)
+void list_lags(request_scenario const& scenario)
 {
-    at.fleet.list_lag = 1500ms;
-    engine_reclaimed(at);
+    scenario.fleet.upstream_list_lag = 1500ms;
+    engine_reclaimed(scenario);
 }
 
 // -- callers --------------------------------------------------------------------------------------
 
-void caller_leaves(scene const& at)
+void caller_leaves(request_scenario const& scenario)
 {
-    std::size_t const next = at.fleet.random() % at.fleet.nodes.size();
+    std::size_t const next = scenario.fleet.random() % scenario.fleet.nodes.size();
     // Repeatable work is kept for five seconds, billed work until it is done.
-    at.callers.leave(at.aim, next, at.up_to(at.target().billed() ? 12s : 4s));
+    scenario.callers.disconnect_for(
+        scenario.target_index, next,
+        scenario.random_duration(scenario.target().billed() ? 12s : 4s));
 }
 
-void caller_repeats(scene const& at)
+void caller_repeats(request_scenario const& scenario)
 {
-    std::size_t const next = at.fleet.random() % at.fleet.nodes.size();
-    at.callers.run_twice(at.aim, next);
-    at.callers.attach_twice(at.aim, at.fleet.random() % at.fleet.nodes.size());
+    std::size_t const next = scenario.fleet.random() % scenario.fleet.nodes.size();
+    scenario.callers.send_duplicate(scenario.target_index, next);
+    scenario.callers.attach_second_connection(
+        scenario.target_index, scenario.fleet.random() % scenario.fleet.nodes.size());
 }
 
-void caller_stalls(scene const& at)
+void caller_stalls(request_scenario const& scenario)
 {
-    at.callers.stall(at.aim);
+    scenario.callers.stop_reading(scenario.target_index);
 }
 
-void deadline_passes(scene const& at)
+void deadline_passes(request_scenario const& scenario)
 {
-    for (fake_engine& each : at.fleet.engines)
+    for (fake_engine& each : scenario.fleet.engines)
     {
         each.stalled = true;
     }
-    at.fleet.loop.after(6s,
-                        [&fleet = at.fleet]
-                        {
-                            for (fake_engine& each : fleet.engines)
-                            {
-                                each.stalled = false;
-                            }
-                        });
+    scenario.fleet.loop.after(6s,
+                              [&fleet = scenario.fleet]
+                              {
+                                  for (fake_engine& each : fleet.engines)
+                                  {
+                                      each.stalled = false;
+                                  }
+                              });
 }
 
-void give_deadline(order& each)
+void set_time_limit(order& each)
 {
-    each.allowed = 3s;
+    each.time_limit = 3s;
 }
 
-void forged_identity(scene const& at)
+void forged_identity(request_scenario const& scenario)
 {
-    at.callers.forge(at.aim, at.fleet.random() % at.fleet.nodes.size());
+    scenario.callers.send_forged_identity(scenario.target_index,
+                                          scenario.fleet.random() % scenario.fleet.nodes.size());
 }
 
 constexpr std::array faults{
@@ -225,7 +236,7 @@
     request_fault{"caller leaves", &caller_leaves, nullptr, true},
     request_fault{"caller repeats", &caller_repeats, nullptr, true},
     request_fault{"caller stalls", &caller_stalls},
-    request_fault{"deadline passes", &deadline_passes, &give_deadline},
+    request_fault{"deadline passes", &deadline_passes, &set_time_limit},
     request_fault{"forged identity", &forged_identity, nullptr, true},
 };
 
--- a/tests/faults/request_faults.hpp
+++ b/tests/faults/request_faults.hpp
@@ -12,21 +12,21 @@
 {
 
 /// \brief A fleet, its callers, and the order that the fault is aimed at.
-struct scene
+struct request_scenario
 {
     test::request_fleet& fleet;
     test::checked_callers& callers;
-    std::size_t aim;
+    std::size_t target_index;
 
     [[nodiscard]] test::order& target() const
     {
-        return callers.orders[aim];
+        return callers.orders[target_index];
     }
     /// \brief Returns the VM that the caller speaks to or the one that owns its generation.
-    [[nodiscard]] std::size_t vm() const;
+    [[nodiscard]] std::size_t entry_vm() const;
     /// \brief Returns the engine that runs the order, or any.
     [[nodiscard]] std::size_t engine() const;
-    [[nodiscard]] test::duration up_to(test::duration longest) const
+    [[nodiscard]] test::duration random_duration(test::duration longest) const
     {
         return test::duration{static_cast<std::int64_t>(
             fleet.random() % static_cast<std::uint64_t>(longest.count()))};
@@ -38,11 +38,11 @@
 {
     std::string_view name;
     /// \brief Brings the fault about; it ends by itself.
-    void (*strike)(scene const&);
+    void (*inject)(request_scenario const&);
     /// \brief Changes an order before it is sent; may be null.
     void (*prepare)(test::order&) = nullptr;
     /// \brief Whether every order ends whole under this fault alone.
-    bool all_whole = false;
+    bool expects_all_whole = false;
 };
 
 [[nodiscard]] std::span<request_fault const> request_faults();
--- a/tests/fleet/checked_callers.cpp
+++ b/tests/fleet/checked_callers.cpp
@@ -23,47 +23,47 @@
     }
     each->generation = token.generation;
     each->upstream = token.upstream;
-    take(*each, token.text);
+    check_token(*each, token.text);
     if (token.index + 1 != each->next)
     {
-        violate(each->name + ": token " + std::to_string(token.index) + " in place of " +
-                std::to_string(each->next - 1));
+        add_violation(each->name + ": token " + std::to_string(token.index) + " in place of " +
+                      std::to_string(each->next - 1));
     }
 }
 
 void checked_callers::finished(state::caller_handle caller, send_finished const& end)
 {
-    extra_.erase(caller);
+    extra_callers_.erase(caller);
     order* const each = find(caller);
     if (each == nullptr)
     {
         return;
     }
     std::size_t const which = release(caller);
-    if (each->kind == order_kind::reserved_draft && !each->reading && !each->body)
+    if (each->kind == order_kind::reserved_draft && !each->attached && !each->body)
     {
         each->generation = end.generation;
-        return fleet->loop.after(each->run_after, [this, which] { attempt(which); });
+        return fleet->loop.after(each->run_delay, [this, which] { attempt(which); });
     }
     std::istringstream words{end.text};
     each->next = each->streamed() ? each->next : 0;
     for (std::string word; words >> word;)
     {
-        take(*each, word);
+        check_token(*each, word);
     }
     each->ended = true;
     each->whole = true;
     std::uint32_t const length = each->run.empty() ? 0 : fleet->runs[std::stoul(each->run)].length;
     if (each->next != length || end.count != length)
     {
-        violate(each->name + ": ended after " + std::to_string(each->next) + " of " +
-                std::to_string(length));
+        add_violation(each->name + ": ended after " + std::to_string(each->next) + " of " +
+                      std::to_string(length));
     }
 }
 
 void checked_callers::refused(state::caller_handle caller, send_refused const& end)
 {
-    if (extra_.erase(caller) != 0)
+    if (extra_callers_.erase(caller) != 0)
     {
         return;
     }
@@ -73,7 +73,7 @@
         return;
     }
     ++refusals[end.kind];
-    each->last = end.kind;
+    each->last_error = end.kind;
     std::size_t const which = release(caller);
     auto const said = state::answer_for(end.kind).claim;
     bool const not_run = said == state::run_claim::not_run;
@@ -85,20 +85,20 @@
     {
         return retry(which);
     }
-    if (not_run && !each->reading)
+    if (not_run && !each->attached)
     {
         return retry(which);
     }
-    lose(which, each->node);
+    recover(which, each->node);
 }
 
-void checked_callers::broken(state::caller_handle caller)
+void checked_callers::disconnected(state::caller_handle caller)
 {
-    extra_.erase(caller);
+    extra_callers_.erase(caller);
     if (find(caller) != nullptr)
     {
         std::size_t const which = release(caller);
-        lose(which, orders[which].node);
+        recover(which, orders[which].node);
     }
 }
 
@@ -111,13 +111,13 @@
         time_point const leaving = fleet->engines[run.engine].leaving_since;
         if (leaving != state::never && run.started > leaving + 2500ms)
         {
-            violate(run.request + ": ran on a leaving engine");
+            add_violation(run.request + ": ran on a leaving engine");
         }
         for (auto const& [name, body] : claimed_not_run_)
         {
             if (run.attempt == body)
             {
-                violate(name + ": ran after it was refused as not run");
+                add_violation(name + ": ran after it was refused as not run");
             }
         }
     }
@@ -125,20 +125,21 @@
     {
         if (each.billed() && ran[each.name] > 1)
         {
-            violate(each.name + ": billed and run " + std::to_string(ran[each.name]) + " times");
+            add_violation(each.name + ": billed and run " + std::to_string(ran[each.name]) +
+                          " times");
         }
         if (!each.ended)
         {
-            violate(each.name + ": never answered, " + description(each));
+            add_violation(each.name + ": never answered, " + description(each));
         }
     }
-    for (std::string const& each : fleet->misuse)
+    for (std::string const& each : fleet->engine_violations)
     {
-        violate(each);
+        add_violation(each);
     }
-    for (auto const& [caller, which] : extra_)
+    for (auto const& [caller, which] : extra_callers_)
     {
-        violate(orders[which].name + ": an earlier caller was never told");
+        add_violation(orders[which].name + ": an earlier caller was never told");
     }
 }
 
@@ -152,19 +153,19 @@
     return count;
 }
 
-void checked_callers::violate(std::string what)
+void checked_callers::add_violation(std::string violation)
 {
-    violations.push_back(std::move(what));
+    violations.push_back(std::move(violation));
 }
 
 std::string checked_callers::description(order const& each)
 {
     std::string text = "kind " + std::to_string(static_cast<int>(each.kind));
-    text += each.reading ? ", reading" : ", running";
+    text += each.attached ? ", reading" : ", running";
     text += ", next " + std::to_string(each.next) + ", tries " + std::to_string(each.tries);
-    text += each.last == state::error_kind::count
+    text += each.last_error == state::error_kind::count
                 ? std::string{}
-                : ", last " + std::string{state::answer_for(each.last).name};
+                : ", last " + std::string{state::answer_for(each.last_error).name};
     return text;
 }
 
@@ -175,7 +176,7 @@
     {
         return nullptr;
     }
-    orders[found->second].heard = fleet->loop.now();
+    orders[found->second].last_contact = fleet->loop.now();
     return &orders[found->second];
 }
 
@@ -187,22 +188,22 @@
     return which;
 }
 
-void checked_callers::take(order& each, std::string const& text)
+void checked_callers::check_token(order& each, std::string const& text)
 {
     std::size_t const first = text.find('/');
     std::size_t const second = text.find('/', first + 1);
     std::string const run = text.substr(first + 1, second - first - 1);
     if (text.substr(0, first) != each.name)
     {
-        violate(each.name + ": got a token of " + text.substr(0, first));
+        add_violation(each.name + ": got a token of " + text.substr(0, first));
     }
     if (each.next != 0 && run != each.run)
     {
-        violate(each.name + ": tokens of two runs");
+        add_violation(each.name + ": tokens of two runs");
     }
     if (std::stoul(text.substr(second + 1)) != each.next)
     {
-        violate(each.name + ": token out of order");
+        add_violation(each.name + ": token out of order");
     }
     each.run = run;
     ++each.next;
--- a/tests/fleet/checked_callers.hpp
+++ b/tests/fleet/checked_callers.hpp
@@ -36,16 +36,16 @@
     std::uint32_t attempt = 1;
     std::uint32_t tries = 0;
     std::shared_ptr<std::string const> body;
-    time_point begun{};
-    time_point heard{};
-    duration allowed{};   ///< Time for the whole order; zero for none.
-    duration run_after{}; ///< How long a reservation waits for its run.
-    bool numbered = true; ///< Tells its attempt number.
-    bool patient = true;  ///< Tries again after a refusal or break.
-    bool reading = false; ///< Attached by identity.
+    time_point started_at{};
+    time_point last_contact{};
+    duration time_limit{}; ///< Time for the whole order; zero for none.
+    duration run_delay{};  ///< How long a reservation waits for its run.
+    bool numbered = true;  ///< Tells its attempt number.
+    bool retries = true;   ///< Tries again after a refusal or break.
+    bool attached = false; ///< Attached by identity.
     bool ended = false;
     bool whole = false;
-    state::error_kind last = state::error_kind::count;
+    state::error_kind last_error = state::error_kind::count;
 
     [[nodiscard]] bool billed() const
     {
@@ -58,37 +58,37 @@
 };
 
 /// \brief Sends orders, follows them to their end as a client library would, notes violations.
-class checked_callers final : public caller_side
+class checked_callers final : public caller_observer
 {
 public:
-    static constexpr std::uint32_t most_tries = 25;
+    static constexpr std::uint32_t max_tries = 25;
 
     std::vector<order> orders;
     std::vector<std::string> violations;
     std::map<state::error_kind, std::size_t> refusals;
     request_fleet* fleet = nullptr;
 
-    /// \brief Begins an order at a node; `first` may change it before it is sent.
+    /// \brief Begins an order at a node; `prepare` may change it before it is sent.
     std::size_t begin(order_kind kind, std::size_t node,
-                      std::function<void(order&)> const& first = {});
+                      std::function<void(order&)> const& prepare = {});
 
     /// \brief The caller's own connection is lost; it goes on at `node`.
-    void hang_up(std::size_t which, std::size_t node);
+    void disconnect(std::size_t which, std::size_t node);
 
     /// \brief Attaches a second connection to an order's generation; its tokens count from there.
-    void attach_twice(std::size_t which, std::size_t node);
+    void attach_second_connection(std::size_t which, std::size_t node);
 
     /// \brief The caller's connection is lost; it comes back later, at another VM.
-    void leave(std::size_t which, std::size_t node, duration away);
+    void disconnect_for(std::size_t which, std::size_t node, duration absence);
 
     /// \brief Sends a billed order once more, though the first call is still open.
-    void run_twice(std::size_t which, std::size_t node);
+    void send_duplicate(std::size_t which, std::size_t node);
 
     /// \brief The caller stops reading, and has to be told within the bound.
-    void stall(std::size_t which);
+    void stop_reading(std::size_t which);
 
     /// \brief Somebody guesses the identity after an order's.
-    void forge(std::size_t which, std::size_t node);
+    void send_forged_identity(std::size_t which, std::size_t node);
 
     // -- what callers are told -----------------------------------------------------------------
 
@@ -100,7 +100,7 @@
 
     void refused(state::caller_handle caller, send_refused const& end) override;
 
-    void broken(state::caller_handle caller) override;
+    void disconnected(state::caller_handle caller) override;
 
     // -- what is checked at the end --------------------------------------------------------------
 
@@ -108,7 +108,7 @@
 
     [[nodiscard]] std::size_t whole() const;
 
-    void violate(std::string what);
+    void add_violation(std::string violation);
 
     [[nodiscard]] static std::string description(order const& each);
 
@@ -118,7 +118,7 @@
     std::size_t release(state::caller_handle caller);
 
     /// \brief Takes one token's text: it names the request, the run and the index.
-    void take(order& each, std::string const& text);
+    void check_token(order& each, std::string const& text);
 
     static time_point deadline_of(order const& each);
 
@@ -136,14 +136,14 @@
     void retry(std::size_t which);
 
     /// \brief The answer broke off, or what became of the attempt is not known.
-    void lose(std::size_t which, std::size_t node);
+    void recover(std::size_t which, std::size_t node);
 
-    void renew(std::size_t which);
+    void restart(std::size_t which);
 
-    void again(std::size_t which, std::function<void(std::size_t)> what);
+    void schedule_retry(std::size_t which, std::function<void(std::size_t)> action);
 
     /// \brief A caller that hears nothing for long hangs up and asks elsewhere.
-    void watch(std::size_t which);
+    void watch_for_silence(std::size_t which);
 
     struct claim
     {
@@ -152,7 +152,7 @@
     };
 
     std::map<state::caller_handle, std::size_t> by_caller_;
-    std::map<state::caller_handle, std::size_t> extra_;
+    std::map<state::caller_handle, std::size_t> extra_callers_;
     std::vector<claim> claimed_not_run_;
     std::vector<std::shared_ptr<std::string const>> bodies_;
 };
--- a/tests/fleet/client.cpp
+++ b/tests/fleet/client.cpp
@@ -4,62 +4,62 @@
 {
 
 std::size_t checked_callers::begin(order_kind kind, std::size_t node,
-                                   std::function<void(order&)> const& first)
+                                   std::function<void(order&)> const& prepare)
 {
     std::size_t const which = orders.size();
     order each;
     each.name = "order" + std::to_string(which);
     each.kind = kind;
     each.node = node;
-    each.begun = fleet->loop.now();
-    if (first)
+    each.started_at = fleet->loop.now();
+    if (prepare)
     {
-        first(each);
+        prepare(each);
     }
     orders.push_back(each);
     attempt(which);
-    watch(which);
+    watch_for_silence(which);
     expect_by_deadline(which);
     return which;
 }
 
-void checked_callers::hang_up(std::size_t which, std::size_t node)
+void checked_callers::disconnect(std::size_t which, std::size_t node)
 {
     order& each = orders[which];
     if (each.caller)
     {
-        fleet->hang_up(each.node, each.caller);
-        lose(which, node);
+        fleet->disconnect(each.node, each.caller);
+        recover(which, node);
     }
 }
 
-void checked_callers::attach_twice(std::size_t which, std::size_t node)
+void checked_callers::attach_second_connection(std::size_t which, std::size_t node)
 {
     order& each = orders[which];
     if (each.ended || !each.caller || !each.generation)
     {
         return;
     }
-    extra_[each.caller] = which;
+    extra_callers_[each.caller] = which;
     by_caller_.erase(each.caller);
     each.node = node;
     attach(which);
 }
 
-void checked_callers::leave(std::size_t which, std::size_t node, duration away)
+void checked_callers::disconnect_for(std::size_t which, std::size_t node, duration absence)
 {
     order& each = orders[which];
     if (!each.caller)
     {
         return;
     }
-    fleet->hang_up(each.node, each.caller);
+    fleet->disconnect(each.node, each.caller);
     by_caller_.erase(each.caller);
     each.caller = {};
-    fleet->loop.after(away, [this, which, node] { lose(which, node); });
+    fleet->loop.after(absence, [this, which, node] { recover(which, node); });
 }
 
-void checked_callers::run_twice(std::size_t which, std::size_t node)
+void checked_callers::send_duplicate(std::size_t which, std::size_t node)
 {
     order& each = orders[which];
     if (!each.billed() || !each.body)
@@ -72,18 +72,18 @@
     request.body = bodies_.back();
     if (state::caller_handle const caller = fleet->send(node, std::move(request)))
     {
-        extra_[caller] = which;
+        extra_callers_[caller] = which;
     }
 }
 
-void checked_callers::stall(std::size_t which)
+void checked_callers::stop_reading(std::size_t which)
 {
     order const& each = orders[which];
     if (!each.caller || !each.streamed() || !each.body)
     {
         return;
     }
-    fleet->to_node(each.node, caller_blocked{each.caller});
+    fleet->post_to_node(each.node, caller_blocked{each.caller});
     std::uint64_t const life = fleet->nodes[each.node].life;
     fleet->loop.after(10s,
                       [this, which, caller = each.caller, node = each.node, life]
@@ -92,12 +92,12 @@
                               orders[which].caller == caller && fleet->nodes[node].life == life;
                           if (same && !orders[which].ended)
                           {
-                              violate(orders[which].name + ": stopped reading, never let go");
+                              add_violation(orders[which].name + ": stopped reading, never let go");
                           }
                       });
 }
 
-void checked_callers::forge(std::size_t which, std::size_t node)
+void checked_callers::send_forged_identity(std::size_t which, std::size_t node)
 {
     state::request request;
     request.op = state::operation::attach;
@@ -108,13 +108,13 @@
     request.upstream_hint = {500};
     if (state::caller_handle const caller = fleet->send(node, std::move(request)))
     {
-        extra_[caller] = which;
+        extra_callers_[caller] = which;
     }
 }
 
 time_point checked_callers::deadline_of(order const& each)
 {
-    return each.allowed == duration{} ? state::never : each.begun + each.allowed;
+    return each.time_limit == duration{} ? state::never : each.started_at + each.time_limit;
 }
 
 state::request checked_callers::run_request(order const& each) const
@@ -140,28 +140,28 @@
 void checked_callers::expect_by_deadline(std::size_t which)
 {
     order const& each = orders[which];
-    if (each.allowed == duration{})
+    if (each.time_limit == duration{})
     {
         return;
     }
-    fleet->loop.after(each.allowed + 1s,
-                      [this, which]
-                      {
-                          order& due = orders[which];
-                          bool const held = due.caller && due.body && !due.ended;
-                          if (held && fleet->nodes[due.node].alive &&
-                              !fleet->nodes[due.node].paused)
-                          {
-                              violate(due.name + ": held past its deadline, " + description(due));
-                          }
-                          due.ended = true;
-                      });
+    fleet->loop.after(
+        each.time_limit + 1s,
+        [this, which]
+        {
+            order& due = orders[which];
+            bool const held = due.caller && due.body && !due.ended;
+            if (held && fleet->nodes[due.node].alive && !fleet->nodes[due.node].paused)
+            {
+                add_violation(due.name + ": held past its deadline, " + description(due));
+            }
+            due.ended = true;
+        });
 }
 
 void checked_callers::attempt(std::size_t which)
 {
     order& each = orders[which];
-    each.reading = false;
+    each.attached = false;
     if (each.kind == order_kind::reserved_draft && !each.generation)
     {
         state::request reservation;
@@ -188,14 +188,14 @@
     request.upstream_hint = fleet->random() % 2 == 0 ? each.upstream : state::upstream_id{};
     request.next_index = each.next;
     request.deadline = deadline_of(each);
-    each.reading = true;
+    each.attached = true;
     post(which, std::move(request));
 }
 
 void checked_callers::post(std::size_t which, state::request request)
 {
     order& each = orders[which];
-    each.heard = fleet->loop.now();
+    each.last_contact = fleet->loop.now();
     each.caller = fleet->send(each.node, std::move(request));
     if (!each.caller)
     {
@@ -206,10 +206,11 @@
 
 void checked_callers::retry(std::size_t which)
 {
-    again(which, [this](std::size_t each) { orders[each].reading ? attach(each) : attempt(each); });
+    schedule_retry(which, [this](std::size_t each)
+                   { orders[each].attached ? attach(each) : attempt(each); });
 }
 
-void checked_callers::lose(std::size_t which, std::size_t node)
+void checked_callers::recover(std::size_t which, std::size_t node)
 {
     order& each = orders[which];
     by_caller_.erase(each.caller);
@@ -217,25 +218,25 @@
     each.node = node;
     bool const readable = each.generation && (each.upstream || each.billed()) && each.body;
     bool const has_tokens = each.streamed() && each.next > 0;
-    bool const gone = each.last == state::error_kind::unknown_generation;
+    bool const gone = each.last_error == state::error_kind::unknown_generation;
     if (each.body && !each.billed() && !has_tokens)
     {
-        return again(which, [this](std::size_t next) { renew(next); });
+        return schedule_retry(which, [this](std::size_t next) { restart(next); });
     }
     if (each.kind >= order_kind::keyed_draft && (!readable || !has_tokens || gone))
     {
         ++each.attempt;
-        return again(which, [this](std::size_t next) { attempt(next); });
+        return schedule_retry(which, [this](std::size_t next) { attempt(next); });
     }
     if (readable)
     {
-        return again(which, [this](std::size_t next) { attach(next); });
+        return schedule_retry(which, [this](std::size_t next) { attach(next); });
     }
     ++each.attempt;
-    again(which, [this](std::size_t next) { attempt(next); });
+    schedule_retry(which, [this](std::size_t next) { attempt(next); });
 }
 
-void checked_callers::renew(std::size_t which)
+void checked_callers::restart(std::size_t which)
 {
     order& each = orders[which];
     each.generation = {};
@@ -243,29 +244,30 @@
     attempt(which);
 }
 
-void checked_callers::again(std::size_t which, std::function<void(std::size_t)> what)
+void checked_callers::schedule_retry(std::size_t which, std::function<void(std::size_t)> action)
 {
     order& each = orders[which];
     // A key is good for repeats within its window only.
-    bool const late = each.kind >= order_kind::keyed_draft && fleet->loop.now() - each.begun > 45s;
+    bool const late =
+        each.kind >= order_kind::keyed_draft && fleet->loop.now() - each.started_at > 45s;
     bool const due = fleet->loop.now() > deadline_of(each) - 1s;
-    if (!each.patient || late || due || ++each.tries > most_tries)
+    if (!each.retries || late || due || ++each.tries > max_tries)
     {
         each.ended = true;
         return;
     }
     fleet->loop.after(300ms + fleet->delay() * 200,
-                      [this, which, what = std::move(what)]
+                      [this, which, action = std::move(action)]
                       {
                           if (!orders[which].ended && !orders[which].caller)
                           {
                               orders[which].node = fleet->random() % fleet->nodes.size();
-                              what(which);
+                              action(which);
                           }
                       });
 }
 
-void checked_callers::watch(std::size_t which)
+void checked_callers::watch_for_silence(std::size_t which)
 {
     fleet->loop.after(1s,
                       [this, which]
@@ -275,11 +277,12 @@
                           {
                               return;
                           }
-                          if (each.caller && each.patient && fleet->loop.now() - each.heard > 15s)
+                          if (each.caller && each.retries &&
+                              fleet->loop.now() - each.last_contact > 15s)
                           {
-                              hang_up(which, each.node);
+                              disconnect(which, each.node);
                           }
-                          watch(which);
+                          watch_for_silence(which);
                       });
 }
 
--- a/tests/fleet/fake_links.cpp
+++ b/tests/fleet/fake_links.cpp
@@ -8,27 +8,27 @@
     std::size_t const at = open.upstream.value - 500;
     if (!engines[at].alive || !reaches_engine(which, at))
     {
-        return to_node(which, upstream_failed{open.stream, upstream_failure::not_connected});
+        return post_to_node(which, upstream_failed{open.stream, upstream_failure::not_connected});
     }
     loop.after(delay(), [this, which, at, open, life = nodes[which].life]
-               { arrive(which, at, open, life); });
+               { open_on_engine(which, at, open, life); });
 }
 
-void request_fleet::arrive(std::size_t which, std::size_t at, open_stream const& open,
-                           std::uint64_t life)
+void request_fleet::open_on_engine(std::size_t which, std::size_t at, open_stream const& open,
+                                   std::uint64_t life)
 {
     fake_engine& engine = engines[at];
     if (!nodes[which].signer->verify(open.generation))
     {
-        misuse.emplace_back("an engine was asked for an identity that nobody gave out");
+        engine_violations.emplace_back("an engine was asked for an identity that nobody gave out");
     }
     if (!engine.alive)
     {
-        return to_node(which, upstream_failed{open.stream, upstream_failure::broken});
+        return post_to_node(which, upstream_failed{open.stream, upstream_failure::broken});
     }
     if (open.mode == stream_mode::start && engine.refuses)
     {
-        return to_node(which, upstream_failed{open.stream, upstream_failure::refused});
+        return post_to_node(which, upstream_failed{open.stream, upstream_failure::refused});
     }
     if (open.mode == stream_mode::start)
     {
@@ -36,23 +36,24 @@
         runs.push_back({at, open.generation, open.body ? *open.body : "", open.body.get(),
                         loop.now(), length});
         engine.runs[open.generation] = runs.size() - 1;
-        make_token(runs.size() - 1);
+        generate_tokens(runs.size() - 1);
     }
     auto const found = engine.runs.find(open.generation);
     if (found == engine.runs.end())
     {
-        return to_node(which, upstream_failed{open.stream, upstream_failure::unknown_generation});
+        return post_to_node(which,
+                            upstream_failed{open.stream, upstream_failure::unknown_generation});
     }
     if (nodes[which].alive && nodes[which].life == life)
     {
         engine.streams.push_back({which, open.stream, found->second, open.from_index});
-        pump(at, engine.streams.size() - 1);
+        send_pending_tokens(at, engine.streams.size() - 1);
     }
 }
 
-void request_fleet::make_token(std::size_t which)
+void request_fleet::generate_tokens(std::size_t which)
 {
-    loop.after(form_.token_gap,
+    loop.after(shape_.token_gap,
                [this, which]
                {
                    engine_run& run = runs[which];
@@ -60,22 +61,22 @@
                    {
                        return;
                    }
-                   run.made += engines[run.engine].stalled ? 0 : 1;
+                   run.generated += engines[run.engine].stalled ? 0 : 1;
                    for (std::size_t i = 0; i < engines[run.engine].streams.size(); ++i)
                    {
                        if (engines[run.engine].streams[i].run == which)
                        {
-                           pump(run.engine, i);
+                           send_pending_tokens(run.engine, i);
                        }
                    }
-                   if (run.made < run.length)
+                   if (run.generated < run.length)
                    {
-                       make_token(which);
+                       generate_tokens(which);
                    }
                });
 }
 
-void request_fleet::pump(std::size_t at, std::size_t index)
+void request_fleet::send_pending_tokens(std::size_t at, std::size_t index)
 {
     fake_stream& stream = engines[at].streams[index];
     engine_run const& run = runs[stream.run];
@@ -85,30 +86,30 @@
     {
         return;
     }
-    while (stream.next < run.made)
+    while (stream.next < run.generated)
     {
         std::uint32_t const next = stream.next++;
         if (chance(wire.skipped))
         {
             continue;
         }
-        upstream_token token{stream.handle, run.id, next, text_of(stream.run, next)};
-        if (chance(wire.crossed) && runs.size() > 1)
+        upstream_token token{stream.handle, run.id, next, token_text(stream.run, next)};
+        if (chance(wire.foreign) && runs.size() > 1)
         {
             std::size_t const other = random() % runs.size();
-            in_order(stream.node,
-                     upstream_token{stream.handle, runs[other].id, next, text_of(other, next)});
+            deliver_in_order(stream.node, upstream_token{stream.handle, runs[other].id, next,
+                                                         token_text(other, next)});
         }
-        in_order(stream.node, token);
+        deliver_in_order(stream.node, token);
         if (chance(wire.duplicate))
         {
-            in_order(stream.node, token);
+            deliver_in_order(stream.node, token);
         }
     }
     if (stream.next == run.length)
     {
         ++stream.next;
-        in_order(stream.node, upstream_finished{stream.handle, run.id, run.length});
+        deliver_in_order(stream.node, upstream_finished{stream.handle, run.id, run.length});
     }
 }
 
@@ -117,12 +118,12 @@
     return share > 0 && std::uniform_real_distribution<>{}(random) < share;
 }
 
-std::string request_fleet::text_of(std::size_t run, std::uint32_t index) const
+std::string request_fleet::token_text(std::size_t run, std::uint32_t index) const
 {
     return runs[run].request + "/" + std::to_string(run) + "/" + std::to_string(index) + " ";
 }
 
-void request_fleet::in_order(std::size_t which, request_event event)
+void request_fleet::deliver_in_order(std::size_t which, request_event event)
 {
     loop.after(1ms,
                [this, which, life = nodes[which].life, event = std::move(event)]
@@ -183,7 +184,7 @@
             if (each.node == which && each.handle == handle)
             {
                 each.paused = paused;
-                pump(at, i);
+                send_pending_tokens(at, i);
             }
         }
     }
@@ -194,12 +195,12 @@
     std::size_t const to = relay.node.value - 100;
     if (!nodes[to].alive || nodes[to].closed || !reaches(which, to))
     {
-        return to_node(which, relay_failed{relay.caller, false});
+        return post_to_node(which, relay_failed{relay.caller, false});
     }
     state::caller_handle const caller{++handles_};
     relays_[caller] = {which, relay.caller};
     nodes[to].callers.insert(caller);
-    to_node(to, request_received{caller, relay.request, nodes[which].settings.self.id});
+    post_to_node(to, request_received{caller, relay.request, nodes[which].settings.self.id});
 }
 
 void request_fleet::carry_out(std::size_t which, close_relay const& close)
@@ -215,7 +216,7 @@
         {
             if (nodes[i].callers.erase(relay->first) != 0)
             {
-                to_node(i, caller_disconnected{relay->first});
+                post_to_node(i, caller_disconnected{relay->first});
             }
         }
         relay = relays_.erase(relay);
@@ -224,28 +225,28 @@
 
 void request_fleet::carry_out(std::size_t which, send_head const& head)
 {
-    to_caller(which, head, relay_head{{}, head.generation, head.upstream}, &caller_side::head,
-              false);
+    deliver_to_caller(which, head, relay_head{{}, head.generation, head.upstream},
+                      &caller_observer::head, false);
 }
 
 void request_fleet::carry_out(std::size_t which, send_token const& token)
 {
-    to_caller(which, token,
-              relay_token{{}, token.generation, token.upstream, token.index, token.text},
-              &caller_side::token, false);
+    deliver_to_caller(which, token,
+                      relay_token{{}, token.generation, token.upstream, token.index, token.text},
+                      &caller_observer::token, false);
 }
 
 void request_fleet::carry_out(std::size_t which, send_finished const& end)
 {
-    to_caller(which, end, relay_finished{{}, end.generation, end.count, end.text},
-              &caller_side::finished, true);
+    deliver_to_caller(which, end, relay_finished{{}, end.generation, end.count, end.text},
+                      &caller_observer::finished, true);
 }
 
 void request_fleet::carry_out(std::size_t which, send_refused const& end)
 {
-    to_caller(which, end,
-              relay_refused{{}, end.kind, end.retry_after, end.generation, end.next_index},
-              &caller_side::refused, true);
+    deliver_to_caller(which, end,
+                      relay_refused{{}, end.kind, end.retry_after, end.generation, end.next_index},
+                      &caller_observer::refused, true);
 }
 
 } // namespace plumdale::test
--- a/tests/fleet/request_fleet.cpp
+++ b/tests/fleet/request_fleet.cpp
@@ -14,12 +14,12 @@
     node.alive = true;
     node.settings.self = {{100 + which}, {zone + 1}, {life}, 0, {}, {}, {}};
     node.settings.fleet_key = "an example fleet key";
-    node.settings.seeds.resize(form_.nodes);
+    node.settings.seeds.resize(shape_.nodes);
     node.settings.token_timeout = 1500ms;
     node.settings.first_token_timeout = 3s;
-    node.settings.key_window = form_.key_window;
+    node.settings.key_window = shape_.key_window;
     node.settings.slow_reader_time = 8s;
-    node.settings.safeguards = form_.safeguards;
+    node.settings.safeguards = shape_.safeguards;
     node.signer = std::make_unique<identity_signer>(node.settings.fleet_key);
     node.fleet =
         std::make_unique<published<fleet_snapshot>>(std::make_shared<fleet_snapshot const>());
@@ -30,10 +30,10 @@
     {
         if (nodes[i].alive && i != which && reaches(which, i))
         {
-            node.heard[i] = loop.now();
+            node.last_contact[i] = loop.now();
         }
     }
-    look_round(which, node.life);
+    refresh_view(which, node.life);
 }
 
 void request_fleet::stop_node(std::size_t which)
@@ -46,11 +46,11 @@
         {
             auto const [from, original] = relay->second;
             relays_.erase(relay);
-            to_node(from, relay_failed{original, true});
+            post_to_node(from, relay_failed{original, true});
         }
         else
         {
-            callers_.broken(caller);
+            callers_.disconnected(caller);
         }
     }
     std::erase_if(relays_, [which](auto const& each) { return each.second.first == which; });
@@ -86,7 +86,7 @@
     }
     for (fake_stream const& each : std::exchange(engine.streams, {}))
     {
-        to_node(each.node, upstream_failed{each.handle, upstream_failure::broken});
+        post_to_node(each.node, upstream_failed{each.handle, upstream_failure::broken});
     }
     engine.runs.clear();
     engine.alive = false;
@@ -107,7 +107,7 @@
 
 bool request_fleet::reaches_engine(std::size_t node, std::size_t engine) const
 {
-    return !cut_zone || (nodes[node].zone == *cut_zone) == (engine % form_.zones == *cut_zone);
+    return !cut_zone || (nodes[node].zone == *cut_zone) == (engine % shape_.zones == *cut_zone);
 }
 
 state::caller_handle request_fleet::send(std::size_t node, state::request request)
@@ -119,14 +119,14 @@
     state::caller_handle const caller{++handles_};
     nodes[node].callers.insert(caller);
     request.api_key = customer.api_key;
-    to_node(node, request_received{caller, std::move(request), {}});
+    post_to_node(node, request_received{caller, std::move(request), {}});
     return caller;
 }
 
-void request_fleet::hang_up(std::size_t node, state::caller_handle caller)
+void request_fleet::disconnect(std::size_t node, state::caller_handle caller)
 {
     nodes[node].callers.erase(caller);
-    to_node(node, caller_disconnected{caller});
+    post_to_node(node, caller_disconnected{caller});
 }
 
 duration request_fleet::delay()
@@ -134,7 +134,7 @@
     return std::chrono::microseconds{500 + random() % 2000};
 }
 
-void request_fleet::to_node(std::size_t which, request_event event)
+void request_fleet::post_to_node(std::size_t which, request_event event)
 {
     std::uint64_t const life = nodes[which].life;
     loop.after(delay(),
@@ -161,7 +161,7 @@
     {
         std::visit([&](auto const& action) { carry_out(which, action); }, each);
     }
-    arm(which);
+    arm_timer(which);
 }
 
 void request_fleet::await_drain(std::size_t which, std::uint64_t life)
@@ -176,7 +176,7 @@
     {
         if (!node.callers.empty())
         {
-            misuse.emplace_back("a caller was cut off by a drain");
+            engine_violations.emplace_back("a caller was cut off by a drain");
         }
         return stop_node(which);
     }
@@ -185,7 +185,7 @@
     loop.after(10ms, [this, which, life] { await_drain(which, life); });
 }
 
-void request_fleet::arm(std::size_t which)
+void request_fleet::arm_timer(std::size_t which)
 {
     fake_node& node = nodes[which];
     time_point const due = std::max(node.shard->next_deadline(), loop.now());
@@ -206,7 +206,7 @@
                });
 }
 
-void request_fleet::look_round(std::size_t which, std::uint64_t life)
+void request_fleet::refresh_view(std::size_t which, std::uint64_t life)
 {
     fake_node& node = nodes[which];
     if (!node.alive || node.life != life)
@@ -217,7 +217,7 @@
     {
         publish_view(which);
     }
-    loop.after(300ms + delay() * 100, [this, which, life] { look_round(which, life); });
+    loop.after(300ms + delay() * 100, [this, which, life] { refresh_view(which, life); });
 }
 
 void request_fleet::publish_view(std::size_t which)
@@ -231,26 +231,26 @@
     for (std::size_t i = 0; i < nodes.size(); ++i)
     {
         bool const reached = nodes[i].alive && reaches(which, i);
-        if (i != which && (reached || node.heard.contains(i)))
+        if (i != which && (reached || node.last_contact.contains(i)))
         {
-            node.view.members.push_back(member_seen(which, i, known));
+            node.view.members.push_back(observed_member(which, i, known));
         }
     }
-    see_engines(node);
+    update_upstream_views(node);
     node.fleet->publish(std::make_shared<fleet_snapshot const>(node.view));
-    arm(which);
+    arm_timer(which);
 }
 
-state::member request_fleet::member_seen(std::size_t which, std::size_t other,
-                                         std::vector<state::member> const& known)
+state::member request_fleet::observed_member(std::size_t which, std::size_t other,
+                                             std::vector<state::member> const& known)
 {
     fake_node const& seen = nodes[other];
     fake_node& node = nodes[which];
     state::member result = seen.settings.self;
-    bool const heard = seen.alive && !seen.paused && reaches(which, other);
-    if (heard)
+    bool const in_contact = seen.alive && !seen.paused && reaches(which, other);
+    if (in_contact)
     {
-        node.heard[other] = loop.now();
+        node.last_contact[other] = loop.now();
         result.health = seen.draining ? state::member_health::leaving : state::member_health::alive;
         for (state::member const& each : seen.view.members)
         {
@@ -265,7 +265,7 @@
     {
         result = each.id == result.id ? each : result;
     }
-    duration const silence = loop.now() - node.heard[other];
+    duration const silence = loop.now() - node.last_contact[other];
     bool const left = result.health == state::member_health::leaving && !seen.alive;
     result.health = silence > 3s       ? state::member_health::dead
                     : left             ? state::member_health::leaving
@@ -274,7 +274,7 @@
     return result;
 }
 
-void request_fleet::see_engines(fake_node& node)
+void request_fleet::update_upstream_views(fake_node& node)
 {
     std::vector<upstream_view> views;
     for (std::size_t i = 0; i < engines.size(); ++i)
@@ -284,8 +284,9 @@
         view.info.model = model;
         upstream_view const* const known = node.view.find_upstream(view.info.id);
         view.gauge = known != nullptr ? known->gauge : std::make_shared<upstream_gauge>();
-        view.accepting = engines[i].leaving_since == state::never ||
-                         loop.now() < engines[i].leaving_since + (views_frozen ? 1s : list_lag);
+        view.accepting =
+            engines[i].leaving_since == state::never ||
+            loop.now() < engines[i].leaving_since + (upstream_list_frozen ? 1s : upstream_list_lag);
         views.push_back(std::move(view));
     }
     node.view.upstreams = std::move(views);
--- a/tests/fleet/request_fleet.hpp
+++ b/tests/fleet/request_fleet.hpp
@@ -32,9 +32,9 @@
 class event_loop
 {
 public:
-    void after(duration wait, std::function<void()> what)
+    void after(duration wait, std::function<void()> callback)
     {
-        events_.push({now_ + wait, ++count_, std::move(what)});
+        events_.push({now_ + wait, ++count_, std::move(callback)});
     }
     void run_until(time_point end)
     {
@@ -43,7 +43,7 @@
             item next = events_.top();
             events_.pop();
             now_ = next.at;
-            next.what();
+            next.callback();
         }
         now_ = end;
     }
@@ -57,7 +57,7 @@
     {
         time_point at;
         std::uint64_t order;
-        std::function<void()> what;
+        std::function<void()> callback;
         bool operator<(item const& other) const
         {
             return std::pair{at, order} > std::pair{other.at, other.order};
@@ -77,7 +77,7 @@
     std::string const* attempt; ///< The body's address: names the attempt.
     time_point started;
     std::uint32_t length = 0;
-    std::uint32_t made = 0;
+    std::uint32_t generated = 0;
     bool stopped = false;
 };
 
@@ -105,25 +105,25 @@
 struct wire_faults
 {
     double duplicate = 0;
-    double crossed = 0;
+    double foreign = 0;
     double skipped = 0;
 };
 
 class request_fleet;
 
 /// \brief What callers do is the test's: it is told of every action towards a caller.
-class caller_side
+class caller_observer
 {
 public:
-    caller_side() = default;
-    caller_side(caller_side const&) = delete;
-    caller_side& operator=(caller_side const&) = delete;
-    virtual ~caller_side() = default;
+    caller_observer() = default;
+    caller_observer(caller_observer const&) = delete;
+    caller_observer& operator=(caller_observer const&) = delete;
+    virtual ~caller_observer() = default;
     virtual void head(state::caller_handle caller, send_head const& head) = 0;
     virtual void token(state::caller_handle caller, send_token const& token) = 0;
     virtual void finished(state::caller_handle caller, send_finished const& end) = 0;
     virtual void refused(state::caller_handle caller, send_refused const& end) = 0;
-    virtual void broken(state::caller_handle caller) = 0;
+    virtual void disconnected(state::caller_handle caller) = 0;
 };
 
 /// \brief One entry VM's request side, with a view of the fleet that lags.
@@ -135,7 +135,7 @@
     std::unique_ptr<std::atomic<std::uint32_t>> in_flight;
     std::unique_ptr<request_shard> shard;
     fleet_snapshot view;
-    std::map<std::size_t, time_point> heard;
+    std::map<std::size_t, time_point> last_contact;
     std::set<state::caller_handle> callers;
     std::vector<request_event> inbox;
     time_point timer = state::never;
@@ -161,16 +161,16 @@
         duration token_gap = 20ms;
     };
 
-    request_fleet(shape const& form, std::uint64_t seed, caller_side& callers)
-        : random{seed}, form_{form}, callers_{callers}
+    request_fleet(shape const& initial_shape, std::uint64_t seed, caller_observer& callers)
+        : random{seed}, shape_{initial_shape}, callers_{callers}
     {
         customer.id = state::id_from_name<state::customer_id>("frescura");
         customer.name = "frescura";
-        nodes.resize(form.nodes);
-        engines.resize(form.engines);
-        for (std::size_t i = 0; i < form.nodes; ++i)
+        nodes.resize(initial_shape.nodes);
+        engines.resize(initial_shape.engines);
+        for (std::size_t i = 0; i < initial_shape.nodes; ++i)
         {
-            nodes[i].zone = i % form.zones;
+            nodes[i].zone = i % initial_shape.zones;
             start_node(i);
         }
     }
@@ -200,13 +200,13 @@
     /// \brief Sends a request; returns no handle when the node can't be connected to.
     state::caller_handle send(std::size_t node, state::request request);
 
-    void hang_up(std::size_t node, state::caller_handle caller);
+    void disconnect(std::size_t node, state::caller_handle caller);
 
     duration delay();
 
     // -- the loop's inside -------------------------------------------------------------------
 
-    void to_node(std::size_t which, request_event event);
+    void post_to_node(std::size_t which, request_event event);
 
     void handle(std::size_t which, request_event const& event);
 
@@ -219,43 +219,44 @@
     state::model_id model = state::id_from_name<state::model_id>("lists");
     wire_faults wire;
     std::optional<std::size_t> cut_zone;
-    bool views_frozen = false; ///< The platform's list does not change any more.
-    duration list_lag{};
-    std::vector<std::string> misuse; ///< What engines were asked and must not be.
+    bool upstream_list_frozen = false; ///< The platform's list does not change any more.
+    duration upstream_list_lag{};
+    std::vector<std::string> engine_violations; ///< What engines were asked and must not be.
 
 private:
     void await_drain(std::size_t which, std::uint64_t life);
 
-    void arm(std::size_t which);
+    void arm_timer(std::size_t which);
 
     // -- members and upstreams as a node sees them, late ---------------------------------------
 
-    void look_round(std::size_t which, std::uint64_t life);
+    void refresh_view(std::size_t which, std::uint64_t life);
 
     void publish_view(std::size_t which);
 
-    state::member member_seen(std::size_t which, std::size_t other,
-                              std::vector<state::member> const& known);
+    state::member observed_member(std::size_t which, std::size_t other,
+                                  std::vector<state::member> const& known);
 
-    void see_engines(fake_node& node);
+    void update_upstream_views(fake_node& node);
 
     // -- engines -----------------------------------------------------------------------------
 
     void carry_out(std::size_t which, open_stream const& open);
 
-    void arrive(std::size_t which, std::size_t at, open_stream const& open, std::uint64_t life);
+    void open_on_engine(std::size_t which, std::size_t at, open_stream const& open,
+                        std::uint64_t life);
 
-    void make_token(std::size_t which);
+    void generate_tokens(std::size_t which);
 
     /// \brief Sends a stream what it has not got; connections keep their order.
-    void pump(std::size_t at, std::size_t index);
+    void send_pending_tokens(std::size_t at, std::size_t index);
 
     [[nodiscard]] bool chance(double share);
 
     /// \brief Names the request, the run and the index, so that a caller can check all three.
-    [[nodiscard]] std::string text_of(std::size_t run, std::uint32_t index) const;
+    [[nodiscard]] std::string token_text(std::size_t run, std::uint32_t index) const;
 
-    void in_order(std::size_t which, request_event event);
+    void deliver_in_order(std::size_t which, request_event event);
 
     void carry_out(std::size_t which, close_stream const& close);
 
@@ -274,8 +275,9 @@
     void carry_out(std::size_t which, close_relay const& close);
 
     /// \brief Hands an action towards a caller to the caller, or to the peer that relays for it.
-    template <class Event, class Action, class Tell>
-    void to_caller(std::size_t which, Action const& action, Event event, Tell tell, bool last)
+    template <class Event, class Action, class Notify>
+    void deliver_to_caller(std::size_t which, Action const& action, Event event, Notify notify,
+                           bool last)
     {
         auto const relay = relays_.find(action.caller);
         if (relay == relays_.end())
@@ -286,7 +288,7 @@
             {
                 nodes[which].callers.erase(action.caller);
             }
-            return present ? (callers_.*tell)(action.caller, action) : void();
+            return present ? (callers_.*notify)(action.caller, action) : void();
         }
         auto const [from, original] = relay->second;
         if (last)
@@ -297,7 +299,7 @@
         if (reaches(which, from))
         {
             event.caller = original;
-            in_order(from, std::move(event));
+            deliver_in_order(from, std::move(event));
         }
     }
 
@@ -309,8 +311,8 @@
 
     void carry_out(std::size_t which, send_refused const& end);
 
-    shape form_;
-    caller_side& callers_;
+    shape shape_;
+    caller_observer& callers_;
     std::map<state::caller_handle, std::pair<std::size_t, state::caller_handle>> relays_;
     std::uint64_t handles_ = 0;
 };
