--- a/bench/burn_book.cpp
+++ b/bench/burn_book.cpp
@@ -1,4 +1,5 @@
-// Cost of the burn book on the path of a token: nanoseconds for one gap, and bytes of memory a row.
+// Cost of the error budget tracker for each token: nanoseconds to record one gap, and bytes of
+// memory for each row.
 #include <plumdale/coordination/error_budget_tracker.hpp>
 
 #include <algorithm>
--- a/bench/control_cost.cpp
+++ b/bench/control_cost.cpp
@@ -1,4 +1,5 @@
-// What a node spends on control, by the number of nodes, upstreams, customers and changes.
+// Bandwidth, processor time and memory that a node spends on the control plane, by the number of
+// nodes, upstreams, customers and changes.
 
 #include "tests/coordination/fleet_values.hpp"
 
@@ -26,7 +27,7 @@
 };
 
 constexpr std::array<fleet_size, 4> sizes{{{9, 3}, {27, 3}, {100, 7}, {380, 14}}};
-/// \brief After this the news of a fleet that started all at once has been told often enough.
+/// \brief After this time the updates of a fleet that starts all at once are no longer resent.
 constexpr state::duration settling_time = 60s;
 
 [[nodiscard]] double seconds(state::duration time)
@@ -50,7 +51,7 @@
     fleet_size size;
     std::size_t upstreams = 0;
     std::size_t customers = 1;
-    /// \brief Switches published a second.
+    /// \brief Switches published each second.
     double changes = 0;
 };
 
--- a/bench/decision_cost.cpp
+++ b/bench/decision_cost.cpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-// What a decision costs: nanoseconds to decide and to account for a token, and memory, by the
-// number of engines. Example: bench_decision_cost
+// Cost of a dispatch decision: nanoseconds to decide and to account for a token, and memory, by
+// the number of engines. Example: bench_decision_cost
 
 namespace
 {
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,5 +1,6 @@
-// Many control planes in virtual time: how long a preset takes to be in force everywhere, how long
-// a dead entry VM takes to be known to all, and small fleets under random faults over many seeds.
+// Many control planes in virtual time: the time until a preset is in force everywhere, the time
+// until all members know that an entry VM is dead, and small fleets under random faults over many
+// seeds.
 // usage: bench_fleet [in_force|detection]... | bench_fleet seeds FIRST COUNT
 
 #include "tests/coordination/fleet_scenario.hpp"
@@ -28,7 +29,7 @@
     return std::chrono::duration<double>(time).count();
 }
 
-/// \brief Sorted times, and the ones of note among them.
+/// \brief A sample of durations and its quantiles.
 class sample
 {
 public:
@@ -66,7 +67,8 @@
     down
 };
 
-/// \brief Adds the time after which each node has `preset` in force; counts those that have not.
+/// \brief Adds the time after which each node has `preset` in force; returns the number of nodes
+/// that do not have it in force after 30 s.
 [[nodiscard]] std::size_t time_in_force(fleet_loop& loop, state::preset_id preset, sample& times)
 {
     state::time_point const begin = loop.now();
--- a/bench/length_score.cpp
+++ b/bench/length_score.cpp
@@ -4,10 +4,10 @@
 #include <cstdio>
 #include <random>
 
-// Scores the estimate of the remaining length alone: the squared error (Brier score) of "will it
-// get 560 more tokens?", asked at every 200 tokens of log-normal answers, against an estimator that
-// knows the mean only, and against one that knows nothing (one half). Half way the customer's
-// lengths shift to three times as long. Example: bench_length_score
+// Scores the estimate of the remaining length by its squared error (Brier score): the probability
+// of at least 560 more tokens, estimated every 200 tokens of log-normal answers. It is compared
+// with an estimator that knows the mean only and with a constant one half. Half way, the customer's
+// lengths become three times as long. Example: bench_length_score
 
 namespace
 {
@@ -53,7 +53,7 @@
             for (std::uint32_t so_far = 0; so_far < length; so_far += sample_interval_tokens)
             {
                 double const truth = length > so_far + additional_tokens ? 1.0 : 0.0;
-                // Knowing the mean only: exponential lengths, the same chance at every token.
+                // With the mean only, lengths are exponential: the same probability at every token.
                 double const by_mean = i == 0 ? 0.5 : std::exp(-additional_tokens / (sum / i));
                 double const ours = lengths.survival(estimate, so_far, additional_tokens);
                 phases[phase].ours += (ours - truth) * (ours - truth);
--- a/bench/load_collection.cpp
+++ b/bench/load_collection.cpp
@@ -1,4 +1,5 @@
-// One zone at full size: what reading engines' load costs a node, and how old what it knows is.
+// One zone at full size: the bandwidth that a node spends on reading the engines' load, and the age
+// of the reports it holds.
 
 #include "tests/coordination/fleet_values.hpp"
 
@@ -35,8 +36,8 @@
     }
 }
 
-// Request line and headers, an answer as in docs/PROTOCOLS.md, and TCP/IP headers of an exchange on
-// a connection that is kept.
+// Request line and headers, an answer as in docs/PROTOCOLS.md, and the TCP/IP headers of an
+// exchange on a persistent connection.
 constexpr std::size_t load_exchange_bytes = 120 + 310 + 4 * 40;
 
 /// \brief One zone at full size: 27 nodes, 790 engines.
--- a/bench/ownership_cost.cpp
+++ b/bench/ownership_cost.cpp
@@ -11,7 +11,7 @@
 #include <malloc.h>
 
 /// \file
-/// \brief Time and memory of the parts that own, remember and deliver generations.
+/// \brief Time and memory of key homes, remembered keys, the generation lifecycle and streams.
 
 using namespace plumdale;
 using namespace plumdale::coordination;
--- a/bench/ownership_ways.cpp
+++ b/bench/ownership_ways.cpp
@@ -4,7 +4,8 @@
 #include <cstdio>
 
 /// \file
-/// \brief What callers are told during faults, for each way of making a run happen at most once.
+/// \brief Answers that callers receive during faults, for each method that makes a generation run
+/// at most once.
 
 using namespace plumdale;
 using namespace plumdale::test;
@@ -90,9 +91,9 @@
     situation{"all die at once", &all_at_once},
 };
 
-// -- ways -----------------------------------------------------------------------------------------
+// -- request methods -----------------------------------------------------------------------------
 
-/// \brief One way to ask for work, and whether the call is a first or a repeat.
+/// \brief One method of requesting work, and whether the call is a first attempt or a repeat.
 struct request_method
 {
     std::string_view name;
@@ -139,7 +140,7 @@
     counts.other += !doubt && !not_run ? 1 : 0;
 }
 
-/// \brief Asks for work all through the event, at VMs that a balancer would use.
+/// \brief Sends orders throughout the fault window, to VMs that a load balancer would use.
 void send_orders(request_fleet& fleet, checked_callers& callers, request_method const& method,
                  bool retries)
 {
@@ -182,7 +183,7 @@
     }
 }
 
-outcome_counts run(situation const& when, request_method const& method, bool retries)
+outcome_counts run(situation const& chosen, request_method const& method, bool retries)
 {
     outcome_counts result;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
@@ -190,7 +191,7 @@
         checked_callers callers;
         request_fleet fleet{{nodes, engines, zones, {}, 60s, 20ms}, seed, callers};
         callers.fleet = &fleet;
-        fleet.loop.after(warm_up, [&] { when.begin(fleet); });
+        fleet.loop.after(warm_up, [&] { chosen.begin(fleet); });
         send_orders(fleet, callers, method, retries);
         fleet.loop.run_until(fleet.loop.now() + warm_up + fault_window + 60s);
         callers.check();
@@ -208,17 +209,17 @@
     std::printf("\n| %s | asked | whole %% | refused, not run %% | key in doubt %% | other %% | "
                 "violations |\n|---|---|---|---|---|---|---|\n",
                 retries ? "callers that try again for 45 s" : "callers that ask once");
-    for (situation const& when : situations)
+    for (situation const& chosen : situations)
     {
         for (request_method const& method : request_methods)
         {
-            outcome_counts const each = run(when, method, retries);
+            outcome_counts const each = run(chosen, method, retries);
             auto const share = [&](std::size_t part)
             {
                 return 100.0 * static_cast<double>(part) / static_cast<double>(each.asked);
             };
             std::printf("| %s: %s | %zu | %.1f | %.1f | %.1f | %.1f | %zu |\n",
-                        std::string{when.name}.c_str(), std::string{method.name}.c_str(),
+                        std::string{chosen.name}.c_str(), std::string{method.name}.c_str(),
                         each.asked, share(each.whole), share(each.not_run), share(each.in_doubt),
                         share(each.other), each.violations);
         }
--- a/bench/path.cpp
+++ b/bench/path.cpp
@@ -19,8 +19,8 @@
 #include <vector>
 
 /// \file
-/// \brief The cost of an entry VM in the path: the same streams straight from a stand-in engine and
-/// through `plumdaled`, in one run. `scripts/bench-path` starts the processes.
+/// \brief The cost of an entry VM in the path: the same streams, in one run, directly from a
+/// stand-in engine and through `plumdaled`. `scripts/bench-path` starts the processes.
 
 namespace
 {
@@ -31,7 +31,7 @@
 
 constexpr std::string_view event_mark = "data: {";
 
-/// \brief What one round of streams saw, in milliseconds.
+/// \brief Latencies of one round of streams, in milliseconds.
 struct round_measures
 {
     std::vector<double> first_tokens;
@@ -119,7 +119,7 @@
             });
     }
 
-    // Returns whether more is to come.
+    // Returns whether more events follow.
     bool take(std::string_view bytes)
     {
         auto const now = bench_clock::now();
@@ -186,7 +186,7 @@
                          R"(]"})");
 }
 
-/// \brief What the command line says.
+/// \brief Command line options.
 struct options
 {
     std::string direct;
@@ -197,7 +197,7 @@
     std::size_t tokens = 100;
 };
 
-// Parses endpoints between commas.
+// Parses a comma-separated list of endpoints.
 std::vector<tcp::endpoint> endpoints_of(std::string const& list)
 {
     std::vector<tcp::endpoint> endpoints;
@@ -207,7 +207,7 @@
         auto const where = plumdale::protocol::parse_endpoint(text);
         if (!where)
         {
-            throw std::invalid_argument{text + " is no endpoint"};
+            throw std::invalid_argument{text + " is not an endpoint"};
         }
         endpoints.emplace_back(net::ip::address_v4{where->address}, where->port);
     }
--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -15,8 +15,8 @@
 
 using namespace bench;
 
-/// \brief Returns the maker of a policy by name: projected, oracle, or a ranking with a cap, as in
-/// `two_choices:0.8`; a cap above 1 refuses nothing.
+/// \brief Returns the factory of a policy by name: projected, oracle, or a ranking with a memory
+/// cap, as in `two_choices:0.8`; a cap above 1 refuses nothing.
 policy_factory make_policy_factory(std::string const& name)
 {
     if (name == "projected")
@@ -126,7 +126,8 @@
                 kind.first_token.quantile(0.99));
 }
 
-/// \brief Returns the mean of what the deciders learnt as their memory limit; 0 for other policies.
+/// \brief Returns the mean of the memory limit factors that the deciders have adapted; 0 for other
+/// policies.
 double mean_limit(fleet_run const& run)
 {
     double sum = 0.0;
--- a/bench/policy/engine_model.hpp
+++ b/bench/policy/engine_model.hpp
@@ -28,7 +28,7 @@
     bool question = false;
 };
 
-/// \brief Figures of the modelled accelerator.
+/// \brief Parameters of the modelled accelerator.
 struct engine_parameters
 {
     std::uint32_t blocks = 4096;
@@ -41,7 +41,7 @@
 };
 
 /// \brief Decodes one token a step for every running sequence. When a block is needed and none is
-/// free, the youngest sequence is preempted: its memory is given up and computed anew later.
+/// free, the youngest sequence is preempted: its memory is freed and recomputed later.
 class engine_model
 {
 public:
@@ -52,7 +52,7 @@
 
     void add(sequence each)
     {
-        // Questions go first among what waits, as engines that honour priorities do.
+        // Questions wait ahead of drafts, as in engines that honour priorities.
         auto at = waiting_.end();
         if (each.question)
         {
@@ -62,7 +62,7 @@
         waiting_.insert(at, each);
     }
 
-    /// \brief Begins a step and returns how long it takes; zero when there is nothing to do.
+    /// \brief Begins a step and returns its duration; zero when no sequence runs.
     duration begin_step()
     {
         std::uint32_t const prefilled = admit();
@@ -74,7 +74,7 @@
                parameters_.prefill_time_per_token * prefilled;
     }
 
-    /// \brief Ends a step: `on_token(sequence, done)` for each token made.
+    /// \brief Ends a step; calls `on_token(sequence, done)` for each generated token.
     template <class OnToken>
     void end_step(OnToken on_token)
     {
@@ -82,7 +82,7 @@
         {
             if (!grow(i))
             {
-                break; // It was itself the youngest, and is preempted.
+                break; // This sequence is the youngest and is preempted.
             }
             sequence& each = running_[i];
             ++each.tokens;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// \brief Drops everything; `on_lost(sequence)` for each.
+    /// \brief Drops all sequences; calls `on_lost(sequence)` for each.
     template <class OnLost>
     void clear(OnLost on_lost)
     {
--- a/bench/policy/fleet_run.hpp
+++ b/bench/policy/fleet_run.hpp
@@ -18,7 +18,8 @@
 #include <vector>
 
 /// \file
-/// \brief Runs deciders against engine models: a loop over a queue of events in virtual time.
+/// \brief Runs deciders, the dispatch side of entry VMs, against engine models in an event loop in
+/// virtual time.
 
 namespace bench
 {
@@ -26,7 +27,7 @@
 namespace co = plumdale::coordination;
 namespace st = plumdale::state;
 
-/// \brief What a policy under test is made from.
+/// \brief Arguments of the factory of a policy under test.
 struct policy_context
 {
     st::node_id node;
@@ -128,7 +129,7 @@
         double stall = 0.0;
         bool active = false;
         bool ran = false;
-        bool refused = false; ///< The caller was told that it was not run.
+        bool refused = false; ///< The caller received a refusal that says "not run".
         std::vector<st::upstream_id> failed;
     };
 
@@ -156,8 +157,8 @@
 
     static constexpr duration sample_interval = std::chrono::milliseconds{250};
     static constexpr duration report_interval = std::chrono::milliseconds{500};
-    static constexpr std::size_t report_lag = 4;   ///< Samples: a report is one second old.
-    static constexpr double stall_threshold = 0.2; ///< A longer gap counts as stalled from there.
+    static constexpr std::size_t report_lag = 4;   ///< In samples: a report is one second old.
+    static constexpr double stall_threshold = 0.2; ///< Seconds; the excess is a stall.
 
     static time_point at(double seconds)
     {
@@ -295,7 +296,7 @@
 
     void refuse(run_state& run)
     {
-        // A start that reached an engine may have run, and is answered as such.
+        // A request that reached an engine may have run, so the refusal does not say "not run".
         run.refused = !run.ran;
         if (run.received < at(scenario_.warm_up))
         {
--- a/bench/policy/fleet_run_setup.hpp
+++ b/bench/policy/fleet_run_setup.hpp
@@ -3,7 +3,7 @@
 #include "fleet_run.hpp"
 
 /// \file
-/// \brief Setting up of a run: engines, deciders and what each decider sees of the fleet.
+/// \brief Setup of a run: engines, deciders and each decider's view of the fleet.
 
 namespace bench
 {
--- a/bench/policy/measures.hpp
+++ b/bench/policy/measures.hpp
@@ -7,12 +7,12 @@
 #include <vector>
 
 /// \file
-/// \brief What a run of the policy bench counts.
+/// \brief Measurements of a run of the policy bench.
 
 namespace bench
 {
 
-/// \brief Counts durations in ranges that grow by 2%; from 0.1 ms to some minutes.
+/// \brief Counts durations in ranges that grow by 2%, from 0.1 ms to some minutes.
 class histogram
 {
 public:
@@ -25,7 +25,7 @@
         ++total_;
     }
 
-    /// \brief Returns the value below which a part of the durations lies, in seconds.
+    /// \brief Returns the quantile in seconds: the value below which `share` of the durations lie.
     [[nodiscard]] double quantile(double share) const
     {
         auto left = static_cast<double>(total_) * share;
@@ -54,7 +54,7 @@
     std::uint64_t refused = 0;
     std::uint64_t finished = 0;
     std::uint64_t interrupted = 0;
-    std::uint64_t tokens = 0; ///< Of whole answers.
+    std::uint64_t tokens = 0; ///< Of complete answers.
     double stall_seconds = 0.0;
     histogram gaps;
     histogram first_token;
@@ -67,8 +67,8 @@
     double refused_tokens = 0.0;
 };
 
-/// \brief Returns the least part of its demand that a modest customer got: one that asked for less
-/// than an even share of what all got, with what such customers left shared out again.
+/// \brief Returns the smallest share of its demand that a modest customer received. A customer is
+/// modest when it asks for less than its max-min fair share of all tokens that were served.
 [[nodiscard]] inline double worst_modest_share(std::vector<customer_measures> customers)
 {
     std::sort(customers.begin(), customers.end(),
@@ -106,11 +106,11 @@
     std::uint64_t false_refusals = 0;
     std::uint64_t retries = 0;
     double seconds = 0.0;
-    /// \brief Preemptions and answers in each five seconds from the start.
+    /// \brief Preemptions and answers in each slice of five seconds from the start.
     std::vector<std::uint64_t> preemptions;
     std::vector<std::uint64_t> answers;
 
-    /// \brief Returns preemptions for each 1,000 answers between two moments, in seconds.
+    /// \brief Returns the preemptions for each 1,000 answers between two times in seconds.
     [[nodiscard]] double preemption_rate(double from, double to) const
     {
         std::uint64_t preempted = 0;
--- a/bench/policy/oracle.hpp
+++ b/bench/policy/oracle.hpp
@@ -18,7 +18,7 @@
 namespace bench
 {
 
-/// \brief What the oracle may see of the model.
+/// \brief State of the model that only the oracle reads.
 struct ground_truth
 {
     std::vector<std::unique_ptr<engine_model>> const& engines;
@@ -26,7 +26,7 @@
     std::unordered_map<std::uint64_t, std::uint32_t> const& length_of; ///< By request key.
 };
 
-/// \brief Admits a request when the true future peak of an engine's memory stays in bounds.
+/// \brief Admits a request when the true future peak of an engine's memory stays below a limit.
 class oracle final : public plumdale::coordination::dispatch_policy
 {
 public:
@@ -89,12 +89,12 @@
     }
 
 private:
-    static constexpr double draft_memory_limit = 0.975; ///< The rest is for questions to come.
+    static constexpr double draft_memory_limit = 0.975; ///< Leaves memory for questions.
     static constexpr double question_memory_limit = 0.995;
     static constexpr double draft_batch_share = 0.9;
     static constexpr std::size_t sampled_engines = 16;
 
-    /// \brief Returns the highest part of the memory that will be held, if nothing more came.
+    /// \brief Returns the peak share of the memory in use if no further request arrives.
     double peak_of(engine_model const& engine, plumdale::state::request const& request)
     {
         remaining_.clear();
--- a/bench/policy/scenario.hpp
+++ b/bench/policy/scenario.hpp
@@ -17,15 +17,15 @@
 enum class fault_kind : std::uint8_t
 {
     none,
-    engine_death, ///< One engine dies and comes back empty 20 s later.
-    third_dies,   ///< A third of the engines do.
-    reclaim,      ///< One engine is marked as leaving and is gone 30 s later.
+    engine_death, ///< One engine dies and restarts empty 20 s later.
+    third_dies,   ///< A third of the engines die and restart likewise.
+    reclaim,      ///< One engine is marked as leaving and stops 20 s later.
     zone_cut,     ///< The first zone is cut off from the others for 20 s.
-    burst,        ///< One customer comes to draw nine tenths of the demand within a minute.
+    burst,        ///< One customer's demand grows to nine tenths of all within a minute.
     switching     ///< Two presets alternate every ten seconds.
 };
 
-/// \brief What is run.
+/// \brief Sizes, load and fault of one run; times are in seconds.
 struct scenario
 {
     std::string deployment = "heredia";
@@ -42,7 +42,7 @@
     plumdale::state::preset preset;
 };
 
-/// \brief One request as the demand makes it.
+/// \brief One generated request; lengths are in tokens.
 struct demand
 {
     std::uint32_t customer = 0;
@@ -57,7 +57,7 @@
 {
 public:
     static constexpr std::uint32_t customers = 10;
-    /// \brief Tokens a second of one engine that 1x stands for.
+    /// \brief Tokens per second of one engine at a load of 1.
     static constexpr double engine_tokens = 1200.0;
 
     explicit demand_source(scenario const& chosen)
@@ -75,7 +75,7 @@
         rate_ = chosen.load * chosen.engines * engine_tokens / mean_tokens;
     }
 
-    /// \brief Returns the seconds to the next request.
+    /// \brief Returns the time to the next request in seconds.
     [[nodiscard]] double interarrival_seconds(double now)
     {
         return std::exponential_distribution<double>{rate_ * (1.0 + burst_demand(now))}(random_);
@@ -135,7 +135,7 @@
         return customers - 1;
     }
 
-    /// \brief Returns the burst's demand in multiples of the ordinary one.
+    /// \brief Returns the burst's demand as a multiple of the ordinary demand.
     [[nodiscard]] double burst_demand(double now) const
     {
         bool const on = scenario_.fault == fault_kind::burst && now > scenario_.fault_at;
--- a/tests/faults/cell.hpp
+++ b/tests/faults/cell.hpp
@@ -14,17 +14,17 @@
 namespace plumdale::faults
 {
 
-/// \brief What a run of a cell breaks; empty when every promise held.
+/// \brief The guarantees that a run of a cell violated; empty when all held.
 using violations = std::vector<std::string>;
 
-/// \brief A fault at a step, and how to bring it about.
+/// \brief A fault at a step, and the function that runs it.
 struct cell
 {
     std::string step;
     std::string fault;
-    /// \brief Runs the cell once on the decision core; null when it is not run there.
+    /// \brief Runs the cell once on the decision core; null if the cell does not run there.
     std::function<violations(std::uint64_t seed, coordination::safeguard_set safeguards)> run;
-    /// \brief For a cell without `run`: the test that covers it, or why nothing does.
+    /// \brief For a cell without `run`: the test that covers it, or the reason why none does.
     std::string elsewhere;
 };
 
@@ -36,7 +36,7 @@
     std::string_view fault;
 };
 
-/// \brief A cell on real processes: a test of `test_system`, by name.
+/// \brief A cell that a test of `test_system` runs on real processes; `test` is its name.
 struct process_cell
 {
     std::string_view step;
@@ -44,19 +44,19 @@
     std::string_view test;
 };
 
-/// \brief Steps of a request under every fault.
+/// \brief Returns a cell for each step of a request and each fault.
 [[nodiscard]] std::vector<cell> request_cells();
-/// \brief Steps of a request under pairs of faults.
+/// \brief Returns a cell for each pair of faults, at one step of a request.
 [[nodiscard]] std::vector<cell> request_pair_cells();
-/// \brief Steps of presets, members and orders.
+/// \brief Returns the cells for steps of presets, members and orders.
 [[nodiscard]] std::vector<cell> control_cells();
 
-/// \brief The cells that are run on processes.
+/// \brief Returns the cells that run on processes.
 [[nodiscard]] std::vector<process_cell> process_cells();
 
-/// \brief For each safeguard of requests, a cell that it guards.
+/// \brief Returns, for each safeguard of requests, a cell that fails without it.
 [[nodiscard]] std::vector<guarded_cell> request_guards();
-/// \brief The same for control.
+/// \brief Returns, for each safeguard of the control plane, a cell that fails without it.
 [[nodiscard]] std::vector<guarded_cell> control_guards();
 
 } // namespace plumdale::faults
--- a/tests/faults/control_cells.cpp
+++ b/tests/faults/control_cells.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint64_t engine_count = 4;
 constexpr state::duration settling_time = 9s;
 
-/// \brief One row of the matrix: brings the fleet to the step and returns within it.
+/// \brief One row of the matrix: `reach` brings the fleet to the step and returns during it.
 struct control_step
 {
     std::string_view name;
@@ -155,7 +155,8 @@
                        [](testing::node_model const& node) { return node.finished; });
 }
 
-// Engines follow the preset in force, and none was sent back to an older order on the way.
+// Every engine follows the preset in force, and no engine received an older order after a newer
+// one.
 void check_orders(control_scenario& scenario)
 {
     auto const fleet = scenario.loop.fleet(0);
@@ -177,17 +178,17 @@
 [[nodiscard]] violations describe(testing::violations const& found, bool unexpected)
 {
     std::array<std::pair<std::size_t, char const*>, 11> const rows{{
-        {found.reverts, "a node went back to an older switch"},
-        {found.served_old, "a node came back and served under an old preset"},
+        {found.reverts, "a node reverted to an older switch"},
+        {found.served_old, "a restarted node served under an old preset"},
         {found.lost_switches, "an accepted switch was lost"},
         {found.divergence, "nodes disagreed or did not serve after the heal"},
         {found.leaving_offered, "a leaving upstream was offered again"},
         {found.late_marks, "a leaving upstream was offered after 2 s"},
         {found.members_not_alive, "a living member was not seen alive"},
-        {found.missing_or_repeated_answers, "an operator got no answer, or two"},
+        {found.missing_or_repeated_answers, "an operator received no answer or two answers"},
         {found.requests_cut_by_drain, "a drain ended with requests in flight"},
         {found.wrong_orders, "an engine follows an old order"},
-        {unexpected ? 1U : 0U, "another preset than the last one is in force"},
+        {unexpected ? 1U : 0U, "a preset other than the last one is in force"},
     }};
     violations result;
     for (auto const& [count, text] : rows)
@@ -223,7 +224,7 @@
     remove_faults(scenario);
     checker.check_final_state();
     check_orders(scenario);
-    // What is in flight ends at last; then a drain has to end too.
+    // When the requests in flight end, the drain has to end too.
     bool const drains =
         step.reach == &member_leaving && scenario.loop.fleet(scenario.other)->draining;
     if (drains)
@@ -237,9 +238,9 @@
     return describe(checker.found, unexpected);
 }
 
-// -- datagrams that no peer made ---------------------------------------------------------------
+// -- forged datagrams -------------------------------------------------------------------------
 
-// Someone without the fleet key sends a datagram that puts a preset in force and a member to death.
+// A sender without the fleet key sends a datagram that puts a preset in force.
 [[nodiscard]] violations run_forged(std::uint64_t seed, safeguard_set safeguards)
 {
     node_settings settings;
--- a/tests/faults/control_faults.cpp
+++ b/tests/faults/control_faults.cpp
@@ -22,7 +22,7 @@
 namespace
 {
 
-/// \brief Returns whether the process that is meant lives, not one before it at its address.
+/// \brief Returns whether this incarnation of the member runs, not an earlier one at its address.
 [[nodiscard]] bool is_running(control_scenario const& scenario, state::member const& member)
 {
     auto const& nodes = scenario.loop.nodes();
@@ -36,7 +36,7 @@
                        });
 }
 
-// Engines come back empty, and remember no order.
+// Engines restart empty and have no order.
 void engine_dies(control_scenario& scenario)
 {
     scenario.checker.step(10s);
@@ -55,7 +55,7 @@
     scenario.loop.wake(scenario.node, scenario.random() % 2 == 0);
 }
 
-// What was in its sockets is lost, and for a second after it woke it hears nobody.
+// The data in its sockets is lost, and it receives nothing for a second after it wakes.
 void wakes_cut_off(control_scenario& scenario)
 {
     scenario.loop.pause(scenario.node);
@@ -85,7 +85,8 @@
     scenario.loop.start(scenario.node);
 }
 
-// The new process hears nobody for a second, while the service answers, with what it had before.
+// The new process receives no datagram for a second, while the platform answers with an earlier
+// revision.
 void starts_cut_off(control_scenario& scenario)
 {
     scenario.loop.platform.visible_revision =
@@ -104,7 +105,7 @@
     scenario.loop.stop(scenario.node);
     scenario.loop.start(scenario.node);
     scenario.checker.step(5s);
-    // News of the process before is still on its way.
+    // An update about the former process is still in flight.
     peer_message message;
     message.sender = scenario.loop.nodes()[scenario.other].settings.self;
     message.members = {scenario.loop.nodes()[scenario.node].settings.self};
@@ -131,7 +132,7 @@
         for (std::size_t at = 0; at < scenario.loop.nodes().size(); ++at)
         {
             auto const fleet = scenario.loop.fleet(at);
-            // A stall shorter than the time to refute kills nobody.
+            // A stall shorter than the time to refute a suspicion must not make a member dead.
             scenario.checker.found.members_not_alive += static_cast<std::size_t>(
                 std::count_if(fleet->members.begin(), fleet->members.end(),
                               [&](state::member const& each)
@@ -167,7 +168,7 @@
     scenario.checker.step(20s);
 }
 
-// It comes back with the revision from before, as restored from a copy.
+// The platform returns with an earlier revision, as if restored from a backup.
 void platform_stale(control_scenario& scenario)
 {
     scenario.loop.platform.down = true;
@@ -179,7 +180,7 @@
     scenario.checker.step(15s);
 }
 
-// A revision was published just before the outage and read by nobody.
+// A revision is published just before the outage, and no node reads it.
 void published_unseen(control_scenario& scenario)
 {
     constexpr std::uint64_t revision = 90;
@@ -198,13 +199,13 @@
     scenario.request_switch(4, 3, "ordinary");
     scenario.checker.step(5s);
     scenario.expected.clear();
-    // A switch published at the same moment may win over both; then both are told.
+    // A switch published at the same time may win over both; then neither is accepted.
     std::size_t const accepted = (scenario.accepted(2) ? 1 : 0) + (scenario.accepted(3) ? 1 : 0);
     std::size_t const won = scenario.loop.fleet(0)->in_force.count > 0 ? 1 : 0;
     scenario.checker.found.lost_switches += accepted == won ? 0 : 1;
 }
 
-// The VM that takes the switch reaches nobody, and dies as soon as it answered.
+// The VM that receives the switch reaches no peer, and dies right after its answer.
 void cut_off_and_dies(control_scenario& scenario)
 {
     scenario.checker.network_reliable = false;
--- a/tests/faults/control_faults.hpp
+++ b/tests/faults/control_faults.hpp
@@ -9,21 +9,21 @@
 #include <string_view>
 
 /// \file
-/// \brief The faults of the matrix that presets, members and orders can meet.
+/// \brief The faults of the matrix for presets, members and orders.
 
 namespace plumdale::faults
 {
 
-/// \brief A fleet at some step, and the nodes that the fault is aimed at.
+/// \brief A fleet at some step, and the nodes that the fault affects.
 struct control_scenario
 {
     testing::fleet_loop& loop;
     testing::control_checker& checker;
     std::mt19937_64& random;
-    /// \brief The node at which the step happens, and one other.
+    /// \brief The node at which the step happens, and another one.
     std::size_t node = 1;
     std::size_t other = 3;
-    /// \brief A preset that has to be in force in the end; none when the fault may decide.
+    /// \brief The preset that has to be in force at the end; empty if the fault may decide it.
     std::string expected;
 
     void request_switch(std::size_t at, std::uint64_t exchange, std::string const& preset)
@@ -38,7 +38,7 @@
     [[nodiscard]] bool accepted(std::uint64_t exchange) const;
 };
 
-/// \brief One column of the matrix. A fault ends by itself or when the scene is healed.
+/// \brief One column of the matrix. A fault ends by itself or in `remove_faults`.
 struct control_fault
 {
     std::string_view name;
--- a/tests/faults/main.cpp
+++ b/tests/faults/main.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-/// \brief What the command line asks for.
+/// \brief Command line options.
 struct options
 {
     std::uint64_t first_seed = 1;
@@ -31,7 +31,7 @@
     safeguard_set safeguards;
 };
 
-/// \brief How a cell came out.
+/// \brief The result of a cell.
 struct outcome
 {
     cell const* tested_cell = nullptr;
@@ -73,11 +73,12 @@
     {
         return each.tested_cell->elsewhere.empty() ? "not run" : each.tested_cell->elsewhere;
     }
-    std::string const of = std::to_string(each.seeds);
-    return each.failed == 0 ? "ok " + of : "**" + std::to_string(each.failed) + " of " + of + "**";
+    std::string const total = std::to_string(each.seeds);
+    return each.failed == 0 ? "ok " + total
+                            : "**" + std::to_string(each.failed) + " of " + total + "**";
 }
 
-/// \brief Writes one table: a row a step, a column a fault, turned when there are many faults.
+/// \brief Writes one table: a row for each fault, a column for each step.
 void write_table(std::ostream& page, std::vector<outcome> const& outcomes)
 {
     std::vector<std::string> step_names;
@@ -160,14 +161,14 @@
     }
 }
 
-/// \brief How many cells held and how many did not.
+/// \brief Numbers of cells that passed and failed.
 struct totals
 {
     std::uint64_t passed = 0;
     std::uint64_t failed = 0;
 };
 
-/// \brief Writes the cells on processes, with what the file says of their tests.
+/// \brief Writes the cells on processes, with the results of their tests from `file`.
 totals write_processes(std::ostream& page, std::string const& file)
 {
     std::map<std::string, bool> results;
@@ -220,13 +221,13 @@
     std::uint64_t seeds = 0;
     for (part const& each : parts)
     {
-        options with = asked;
-        with.seeds = asked.seeds == 0 ? each.seeds : asked.seeds;
-        std::vector<outcome> const outcomes = run_all(each.cells, with);
+        options part_options = asked;
+        part_options.seeds = asked.seeds == 0 ? each.seeds : asked.seeds;
+        std::vector<outcome> const outcomes = run_all(each.cells, part_options);
         page << "## " << each.title << "\n\n";
         write_table(page, outcomes);
-        std::uint64_t const bad = failed_cells(outcomes);
-        failed += bad;
+        std::uint64_t const failed_here = failed_cells(outcomes);
+        failed += failed_here;
         for (outcome const& one : outcomes)
         {
             passed += one.failed == 0 && one.seeds != 0 ? 1 : 0;
--- a/tests/faults/request_cells.cpp
+++ b/tests/faults/request_cells.cpp
@@ -16,7 +16,7 @@
 
 // -- steps ----------------------------------------------------------------------------------------
 
-/// \brief One row of the matrix: when the aimed order has come that far.
+/// \brief One row of the matrix: `reached` returns whether the target order is at the step.
 struct request_step
 {
     std::string_view name;
@@ -81,11 +81,12 @@
 
 // -- one run of one cell --------------------------------------------------------------------------
 
-/// \brief Longer than keys are remembered, so that no VM counts as fresh.
+/// \brief Longer than keys are remembered, so that no VM counts as recently started.
 constexpr duration warm_up = 66s;
 constexpr std::size_t background_orders = 9;
 
-/// \brief A cell's run: ten orders, the faults when the first has come to the step, then ten more.
+/// \brief A cell's run: ten orders, the faults when the first order reaches the step, then nine
+/// more orders.
 class request_cell_run
 {
 public:
@@ -109,7 +110,8 @@
             {
                 if (!each.whole)
                 {
-                    callers_.add_violation(each.name + ": not whole though nothing failed, " +
+                    callers_.add_violation(each.name +
+                                           ": not answered in full under a fault that allows it, " +
                                            checked_callers::description(each));
                 }
             }
@@ -177,7 +179,7 @@
                                   fault->inject({fleet_, callers_, target_index_});
                               });
         }
-        // Callers who lost patience, and others who come only now.
+        // Callers that repeat a call before it is answered, and orders that begin after the faults.
         repeat_later(target_index_);
         fleet_.loop.after(std::chrono::milliseconds{fleet_.random() % 12'000},
                           [this]
--- a/tests/faults/request_faults.cpp
+++ b/tests/faults/request_faults.cpp
@@ -100,7 +100,7 @@
     std::size_t const entry_vm = scenario.entry_vm();
     std::uint64_t const life = scenario.fleet.nodes[entry_vm].life;
     scenario.fleet.nodes[entry_vm].paused = true;
-    // What the paused VM doesn't see: an engine that begins to leave.
+    // An engine begins to leave while the VM is paused and can't see it.
     std::size_t const engine = scenario.fleet.random() % scenario.fleet.engines.size();
     scenario.fleet.engines[engine].leaving_since = scenario.fleet.loop.now();
     scenario.fleet.loop.after(500ms + scenario.random_duration(9s),
@@ -127,8 +127,7 @@
                               });
 }
 
-// -- zones and platform
-// -----------------------------------------------------------------------------
+// -- zones and platform --------------------------------------------------------------------------
 
 void zone_cut(request_scenario const& scenario)
 {
@@ -171,7 +170,7 @@
 void caller_leaves(request_scenario const& scenario)
 {
     std::size_t const next = scenario.fleet.random() % scenario.fleet.nodes.size();
-    // Repeatable work is kept for five seconds, billed work until it is done.
+    // Without a caller, repeatable work is kept for five seconds and billed work until it is done.
     scenario.callers.disconnect_for(
         scenario.target_index, next,
         scenario.random_duration(scenario.target().billed() ? 12s : 4s));
--- a/tests/faults/request_faults.hpp
+++ b/tests/faults/request_faults.hpp
@@ -6,12 +6,12 @@
 #include <string_view>
 
 /// \file
-/// \brief The faults of the matrix that a request can meet.
+/// \brief The faults of the matrix for requests.
 
 namespace plumdale::faults
 {
 
-/// \brief A fleet, its callers, and the order that the fault is aimed at.
+/// \brief A fleet, its callers, and the order that the fault affects.
 struct request_scenario
 {
     test::request_fleet& fleet;
@@ -22,9 +22,9 @@
     {
         return callers.orders[target_index];
     }
-    /// \brief Returns the VM that the caller speaks to or the one that owns its generation.
+    /// \brief Returns the VM that the caller is connected to or the one that owns its generation.
     [[nodiscard]] std::size_t entry_vm() const;
-    /// \brief Returns the engine that runs the order, or any.
+    /// \brief Returns the engine that last ran the order; a random one if none did.
     [[nodiscard]] std::size_t engine() const;
     [[nodiscard]] test::duration random_duration(test::duration longest) const
     {
@@ -37,11 +37,11 @@
 struct request_fault
 {
     std::string_view name;
-    /// \brief Brings the fault about; it ends by itself.
+    /// \brief Injects the fault; it ends by itself.
     void (*inject)(request_scenario const&);
     /// \brief Changes an order before it is sent; may be null.
     void (*prepare)(test::order&) = nullptr;
-    /// \brief Whether every order ends whole under this fault alone.
+    /// \brief Whether every order ends with a complete answer under this fault alone.
     bool expects_all_whole = false;
 };
 
--- a/tests/fleet/checked_callers.cpp
+++ b/tests/fleet/checked_callers.cpp
@@ -75,8 +75,8 @@
     ++refusals[end.kind];
     each->last_error = end.kind;
     std::size_t const which = release(caller);
-    auto const said = state::answer_for(end.kind).claim;
-    bool const not_run = said == state::run_claim::not_run;
+    auto const stated_claim = state::answer_for(end.kind).claim;
+    bool const not_run = stated_claim == state::run_claim::not_run;
     if (not_run && each->body)
     {
         claimed_not_run_.push_back({each->name, each->body.get()});
@@ -139,7 +139,7 @@
     }
     for (auto const& [caller, which] : extra_callers_)
     {
-        add_violation(orders[which].name + ": an earlier caller was never told");
+        add_violation(orders[which].name + ": an earlier caller never received an answer");
     }
 }
 
@@ -161,7 +161,7 @@
 std::string checked_callers::description(order const& each)
 {
     std::string text = "kind " + std::to_string(static_cast<int>(each.kind));
-    text += each.attached ? ", reading" : ", running";
+    text += each.attached ? ", attached" : ", running";
     text += ", next " + std::to_string(each.next) + ", tries " + std::to_string(each.tries);
     text += each.last_error == state::error_kind::count
                 ? std::string{}
--- a/tests/fleet/checked_callers.hpp
+++ b/tests/fleet/checked_callers.hpp
@@ -7,7 +7,7 @@
 #include <sstream>
 
 /// \file
-/// \brief Callers that check what they get, and what the engines ran for them.
+/// \brief Callers that check their answers and what the engines ran for them.
 
 namespace plumdale::test
 {
@@ -15,14 +15,14 @@
 enum class order_kind : std::uint8_t
 {
     question,       ///< Repeatable, streamed.
-    whole_question, ///< Repeatable, one whole answer.
+    whole_question, ///< Repeatable, the answer in one piece.
     reserved_draft, ///< Billed: reserves an identity, then runs it.
     keyed_draft,    ///< Billed: one call with an idempotency key, streamed.
-    keyed_whole,    ///< Billed: one call with a key, one whole answer.
+    keyed_whole,    ///< Billed: one call with a key, the answer in one piece.
     count
 };
 
-/// \brief What one caller wants, and how far it has come.
+/// \brief One caller's piece of work, over all its attempts, and its progress.
 struct order
 {
     std::string name;
@@ -31,7 +31,7 @@
     state::caller_handle caller;
     state::generation_id generation;
     state::upstream_id upstream;
-    std::string run; ///< Name of the run that its tokens came from.
+    std::string run; ///< Name of the run that produced its tokens.
     std::uint32_t next = 0;
     std::uint32_t attempt = 1;
     std::uint32_t tries = 0;
@@ -39,9 +39,9 @@
     time_point started_at{};
     time_point last_contact{};
     duration time_limit{}; ///< Time for the whole order; zero for none.
-    duration run_delay{};  ///< How long a reservation waits for its run.
-    bool numbered = true;  ///< Tells its attempt number.
-    bool retries = true;   ///< Tries again after a refusal or break.
+    duration run_delay{};  ///< Time from the reservation to its run.
+    bool numbered = true;  ///< Sends its attempt number.
+    bool retries = true;   ///< Retries after a refusal or a lost connection.
     bool attached = false; ///< Attached by identity.
     bool ended = false;
     bool whole = false;
@@ -57,7 +57,7 @@
     }
 };
 
-/// \brief Sends orders, follows them to their end as a client library would, notes violations.
+/// \brief Sends orders, follows them to their end as a client library does, and records violations.
 class checked_callers final : public caller_observer
 {
 public:
@@ -72,25 +72,25 @@
     std::size_t begin(order_kind kind, std::size_t node,
                       std::function<void(order&)> const& prepare = {});
 
-    /// \brief The caller's own connection is lost; it goes on at `node`.
+    /// \brief Closes the caller's connection; the caller continues at `node`.
     void disconnect(std::size_t which, std::size_t node);
 
     /// \brief Attaches a second connection to an order's generation; its tokens count from there.
     void attach_second_connection(std::size_t which, std::size_t node);
 
-    /// \brief The caller's connection is lost; it comes back later, at another VM.
+    /// \brief Closes the caller's connection; after `absence` the caller connects to another VM.
     void disconnect_for(std::size_t which, std::size_t node, duration absence);
 
-    /// \brief Sends a billed order once more, though the first call is still open.
+    /// \brief Sends a billed order once more while the first call is still open.
     void send_duplicate(std::size_t which, std::size_t node);
 
-    /// \brief The caller stops reading, and has to be told within the bound.
+    /// \brief Stops reading; the caller's stream has to end within 10 s.
     void stop_reading(std::size_t which);
 
-    /// \brief Somebody guesses the identity after an order's.
+    /// \brief Attaches with a guessed identity: the one that follows the order's.
     void send_forged_identity(std::size_t which, std::size_t node);
 
-    // -- what callers are told -----------------------------------------------------------------
+    // -- answers to callers -------------------------------------------------------------------
 
     void head(state::caller_handle caller, send_head const& head) override;
 
@@ -102,7 +102,7 @@
 
     void disconnected(state::caller_handle caller) override;
 
-    // -- what is checked at the end --------------------------------------------------------------
+    // -- checks at the end --------------------------------------------------------------------
 
     void check();
 
@@ -117,7 +117,7 @@
 
     std::size_t release(state::caller_handle caller);
 
-    /// \brief Takes one token's text: it names the request, the run and the index.
+    /// \brief Checks one token's text, which names the request, the run and the index.
     void check_token(order& each, std::string const& text);
 
     static time_point deadline_of(order const& each);
@@ -132,17 +132,18 @@
 
     void post(std::size_t which, state::request request);
 
-    /// \brief This attempt was not run: it is sent again, to any VM, under the same number.
+    /// \brief Resends an attempt that was not run, to any VM and under the same attempt number.
     void retry(std::size_t which);
 
-    /// \brief The answer broke off, or what became of the attempt is not known.
+    /// \brief Attaches or retries when the answer was interrupted or the attempt's outcome is
+    /// unknown.
     void recover(std::size_t which, std::size_t node);
 
     void restart(std::size_t which);
 
     void schedule_retry(std::size_t which, std::function<void(std::size_t)> action);
 
-    /// \brief A caller that hears nothing for long hangs up and asks elsewhere.
+    /// \brief Disconnects a caller that receives nothing for 15 s; it continues at another VM.
     void watch_for_silence(std::size_t which);
 
     struct claim
--- a/tests/fleet/client.cpp
+++ b/tests/fleet/client.cpp
@@ -85,16 +85,16 @@
     }
     fleet->post_to_node(each.node, caller_blocked{each.caller});
     std::uint64_t const life = fleet->nodes[each.node].life;
-    fleet->loop.after(10s,
-                      [this, which, caller = each.caller, node = each.node, life]
-                      {
-                          bool const same =
-                              orders[which].caller == caller && fleet->nodes[node].life == life;
-                          if (same && !orders[which].ended)
-                          {
-                              add_violation(orders[which].name + ": stopped reading, never let go");
-                          }
-                      });
+    fleet->loop.after(
+        10s,
+        [this, which, caller = each.caller, node = each.node, life]
+        {
+            bool const same = orders[which].caller == caller && fleet->nodes[node].life == life;
+            if (same && !orders[which].ended)
+            {
+                add_violation(orders[which].name + ": stopped reading, its stream never ended");
+            }
+        });
 }
 
 void checked_callers::send_forged_identity(std::size_t which, std::size_t node)
@@ -148,13 +148,14 @@
         each.time_limit + 1s,
         [this, which]
         {
-            order& due = orders[which];
-            bool const held = due.caller && due.body && !due.ended;
-            if (held && fleet->nodes[due.node].alive && !fleet->nodes[due.node].paused)
+            order& expected = orders[which];
+            bool const still_held = expected.caller && expected.body && !expected.ended;
+            if (still_held && fleet->nodes[expected.node].alive &&
+                !fleet->nodes[expected.node].paused)
             {
-                add_violation(due.name + ": held past its deadline, " + description(due));
+                add_violation(expected.name + ": held past its deadline, " + description(expected));
             }
-            due.ended = true;
+            expected.ended = true;
         });
 }
 
@@ -184,7 +185,7 @@
     request.op = state::operation::attach;
     request.streamed = each.streamed();
     request.generation = each.generation;
-    // Some client libraries keep the whole event id, some only identity and index.
+    // Some client libraries keep the complete event id, some only the identity and the index.
     request.upstream_hint = fleet->random() % 2 == 0 ? each.upstream : state::upstream_id{};
     request.next_index = each.next;
     request.deadline = deadline_of(each);
@@ -218,12 +219,12 @@
     each.node = node;
     bool const readable = each.generation && (each.upstream || each.billed()) && each.body;
     bool const has_tokens = each.streamed() && each.next > 0;
-    bool const gone = each.last_error == state::error_kind::unknown_generation;
+    bool const generation_unknown = each.last_error == state::error_kind::unknown_generation;
     if (each.body && !each.billed() && !has_tokens)
     {
         return schedule_retry(which, [this](std::size_t next) { restart(next); });
     }
-    if (each.kind >= order_kind::keyed_draft && (!readable || !has_tokens || gone))
+    if (each.kind >= order_kind::keyed_draft && (!readable || !has_tokens || generation_unknown))
     {
         ++each.attempt;
         return schedule_retry(which, [this](std::size_t next) { attempt(next); });
@@ -247,11 +248,11 @@
 void checked_callers::schedule_retry(std::size_t which, std::function<void(std::size_t)> action)
 {
     order& each = orders[which];
-    // A key is good for repeats within its window only.
-    bool const late =
+    // A key protects repeats within its window only.
+    bool const key_window_over =
         each.kind >= order_kind::keyed_draft && fleet->loop.now() - each.started_at > 45s;
-    bool const due = fleet->loop.now() > deadline_of(each) - 1s;
-    if (!each.retries || late || due || ++each.tries > max_tries)
+    bool const near_deadline = fleet->loop.now() > deadline_of(each) - 1s;
+    if (!each.retries || key_window_over || near_deadline || ++each.tries > max_tries)
     {
         each.ended = true;
         return;
--- a/tests/fleet/request_fleet.cpp
+++ b/tests/fleet/request_fleet.cpp
@@ -180,7 +180,7 @@
         }
         return stop_node(which);
     }
-    // Requests on their way are still answered; new connections are not taken.
+    // Requests in flight are still answered; new connections are refused.
     node.closed = idle;
     loop.after(10ms, [this, which, life] { await_drain(which, life); });
 }
--- a/tests/fleet/request_fleet.hpp
+++ b/tests/fleet/request_fleet.hpp
@@ -73,8 +73,8 @@
 {
     std::size_t engine;
     state::generation_id id;
-    std::string request;        ///< Body: names the caller's request.
-    std::string const* attempt; ///< The body's address: names the attempt.
+    std::string request;        ///< The body, which names the caller's request.
+    std::string const* attempt; ///< The body's address, which identifies the attempt.
     time_point started;
     std::uint32_t length = 0;
     std::uint32_t generated = 0;
@@ -94,14 +94,14 @@
 {
     bool alive = true;
     bool refuses = false;
-    bool stalled = false; ///< Makes no token.
+    bool stalled = false; ///< Generates no token.
     time_point leaving_since = state::never;
     std::vector<fake_stream> streams;
     std::map<state::generation_id, std::size_t> runs; ///< Latest run of each identity.
     std::set<std::pair<std::size_t, state::stream_handle>> silent;
 };
 
-/// \brief Mistakes that an engine's answers, or what lies on the way, can make.
+/// \brief Probabilities of wrong tokens on a stream: repeated, of another run, or left out.
 struct wire_faults
 {
     double duplicate = 0;
@@ -111,7 +111,7 @@
 
 class request_fleet;
 
-/// \brief What callers do is the test's: it is told of every action towards a caller.
+/// \brief Interface of a test's callers: receives every action that is addressed to a caller.
 class caller_observer
 {
 public:
@@ -126,7 +126,7 @@
     virtual void disconnected(state::caller_handle caller) = 0;
 };
 
-/// \brief One entry VM's request side, with a view of the fleet that lags.
+/// \brief The request side of one entry VM, with a delayed view of the fleet.
 struct fake_node
 {
     node_settings settings;
@@ -139,15 +139,15 @@
     std::set<state::caller_handle> callers;
     std::vector<request_event> inbox;
     time_point timer = state::never;
-    std::uint64_t life = 0; ///< Counts uptimes; events of an earlier one are dropped.
+    std::uint64_t life = 0; ///< Counts starts; events of an earlier start are dropped.
     std::size_t zone = 0;
     bool alive = false;
     bool paused = false;
     bool draining = false;
-    bool closed = false; ///< Takes no connection any more.
+    bool closed = false; ///< Accepts no new connections.
 };
 
-/// \brief The nodes, engines and links. Everything is reachable unless `cut` says otherwise.
+/// \brief The nodes, engines and links. Only `cut_zone` is unreachable from the other zones.
 class request_fleet
 {
 public:
@@ -188,7 +188,7 @@
 
     void stop_engine(std::size_t which);
 
-    /// \brief Makes every open connection of an engine silent; new ones work.
+    /// \brief Silences every open connection of an engine; new connections work.
     void silence_engine(std::size_t which);
 
     [[nodiscard]] bool reaches(std::size_t a, std::size_t b) const;
@@ -197,14 +197,14 @@
 
     // -- callers -----------------------------------------------------------------------------
 
-    /// \brief Sends a request; returns no handle when the node can't be connected to.
+    /// \brief Sends a request; returns an empty handle if the node accepts no connection.
     state::caller_handle send(std::size_t node, state::request request);
 
     void disconnect(std::size_t node, state::caller_handle caller);
 
     duration delay();
 
-    // -- the loop's inside -------------------------------------------------------------------
+    // -- events and state -------------------------------------------------------------------
 
     void post_to_node(std::size_t which, request_event event);
 
@@ -219,16 +219,16 @@
     state::model_id model = state::id_from_name<state::model_id>("lists");
     wire_faults wire;
     std::optional<std::size_t> cut_zone;
-    bool upstream_list_frozen = false; ///< The platform's list does not change any more.
+    bool upstream_list_frozen = false; ///< The platform's list no longer changes.
     duration upstream_list_lag{};
-    std::vector<std::string> engine_violations; ///< What engines were asked and must not be.
+    std::vector<std::string> engine_violations; ///< Requests that engines must not receive.
 
 private:
     void await_drain(std::size_t which, std::uint64_t life);
 
     void arm_timer(std::size_t which);
 
-    // -- members and upstreams as a node sees them, late ---------------------------------------
+    // -- a node's delayed view of members and upstreams -------------------------------------
 
     void refresh_view(std::size_t which, std::uint64_t life);
 
@@ -248,12 +248,12 @@
 
     void generate_tokens(std::size_t which);
 
-    /// \brief Sends a stream what it has not got; connections keep their order.
+    /// \brief Sends the tokens that a stream has not received yet, in order.
     void send_pending_tokens(std::size_t at, std::size_t index);
 
     [[nodiscard]] bool chance(double share);
 
-    /// \brief Names the request, the run and the index, so that a caller can check all three.
+    /// \brief Returns a text of request, run and index, so that a caller can check all three.
     [[nodiscard]] std::string token_text(std::size_t run, std::uint32_t index) const;
 
     void deliver_in_order(std::size_t which, request_event event);
@@ -274,7 +274,7 @@
 
     void carry_out(std::size_t which, close_relay const& close);
 
-    /// \brief Hands an action towards a caller to the caller, or to the peer that relays for it.
+    /// \brief Passes an action to its caller, or to the peer that forwards the caller's request.
     template <class Event, class Action, class Notify>
     void deliver_to_caller(std::size_t which, Action const& action, Event event, Notify notify,
                            bool last)
@@ -282,7 +282,7 @@
         auto const relay = relays_.find(action.caller);
         if (relay == relays_.end())
         {
-            // The caller's handle is looked up first: what is told may hang up.
+            // The caller's handle is looked up first, because the notified caller may disconnect.
             bool const present = nodes[which].callers.contains(action.caller);
             if (last)
             {
