--- a/bench/policy/measures.hpp
+++ b/bench/policy/measures.hpp
@@ -7,41 +7,42 @@
 #include <vector>
 
 /// \file
-/// \brief What a run of the policy bench counts.
+/// \brief Measurements of a run of the policy bench.
 
 namespace bench
 {
 
-/// \brief Counts durations in ranges that grow by 2%; from 0.1 ms to some minutes.
+/// \brief Counts durations in ranges that grow by 2%, from 0.1 ms to some minutes.
 class histogram
 {
 public:
     void add(double seconds)
     {
-        double const position = std::log(std::max(seconds, lowest) / lowest) / std::log(growth);
+        double const position =
+            std::log(std::max(seconds, lowest_seconds) / lowest_seconds) / std::log(range_growth);
         auto const at = std::min(static_cast<std::size_t>(position), counts_.size() - 1);
         ++counts_[at];
         ++total_;
     }
 
-    /// \brief Returns the value below which a part of the durations lies, in seconds.
-    [[nodiscard]] double quantile(double part) const
+    /// \brief Returns the quantile in seconds: the value below which `share` of the durations lie.
+    [[nodiscard]] double quantile(double share) const
     {
-        auto left = static_cast<double>(total_) * part;
+        auto left = static_cast<double>(total_) * share;
         for (std::size_t i = 0; i < counts_.size(); ++i)
         {
             left -= static_cast<double>(counts_[i]);
             if (left <= 0.0 && total_ > 0)
             {
-                return lowest * std::pow(growth, static_cast<double>(i) + 0.5);
+                return lowest_seconds * std::pow(range_growth, static_cast<double>(i) + 0.5);
             }
         }
         return 0.0;
     }
 
 private:
-    static constexpr double lowest = 1e-4;
-    static constexpr double growth = 1.02;
+    static constexpr double lowest_seconds = 1e-4;
+    static constexpr double range_growth = 1.02;
     std::array<std::uint64_t, 800> counts_{};
     std::uint64_t total_ = 0;
 };
@@ -53,7 +54,7 @@
     std::uint64_t refused = 0;
     std::uint64_t finished = 0;
     std::uint64_t interrupted = 0;
-    std::uint64_t tokens = 0; ///< Of whole answers.
+    std::uint64_t tokens = 0; ///< Of complete answers.
     double stall_seconds = 0.0;
     histogram gaps;
     histogram first_token;
@@ -66,8 +67,8 @@
     double refused_tokens = 0.0;
 };
 
-/// \brief Returns the least part of its demand that a modest customer got: one that asked for less
-/// than an even share of what all got, with what such customers left shared out again.
+/// \brief Returns the smallest share of its demand that a modest customer received. A customer is
+/// modest when it asks for less than its max-min fair share of all tokens that were served.
 [[nodiscard]] inline double worst_modest_share(std::vector<customer_measures> customers)
 {
     std::sort(customers.begin(), customers.end(),
@@ -102,14 +103,14 @@
     kind_measures question;
     kind_measures draft;
     std::vector<customer_measures> customers;
-    std::uint64_t untrue_refusals = 0;
+    std::uint64_t false_refusals = 0;
     std::uint64_t retries = 0;
     double seconds = 0.0;
-    /// \brief Preemptions and answers in each five seconds from the start.
+    /// \brief Preemptions and answers in each slice of five seconds from the start.
     std::vector<std::uint64_t> preemptions;
     std::vector<std::uint64_t> answers;
 
-    /// \brief Returns preemptions for each 1,000 answers between two moments, in seconds.
+    /// \brief Returns the preemptions for each 1,000 answers between two times in seconds.
     [[nodiscard]] double preemption_rate(double from, double to) const
     {
         std::uint64_t preempted = 0;
--- a/tests/faults/main.cpp
+++ b/tests/faults/main.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-/// \brief What the command line asks for.
+/// \brief Command line options.
 struct options
 {
     std::uint64_t first_seed = 1;
@@ -31,10 +31,10 @@
     safeguard_set safeguards;
 };
 
-/// \brief How a cell came out.
+/// \brief The result of a cell.
 struct outcome
 {
-    cell const* where = nullptr;
+    cell const* tested_cell = nullptr;
     std::uint64_t seeds = 0;
     std::uint64_t failed = 0;
     std::uint64_t first_bad_seed = 0;
@@ -67,17 +67,18 @@
     return result;
 }
 
-std::string mark_of(outcome const& each)
+std::string result_text(outcome const& each)
 {
-    if (each.where->run == nullptr)
+    if (each.tested_cell->run == nullptr)
     {
-        return each.where->elsewhere.empty() ? "not run" : each.where->elsewhere;
+        return each.tested_cell->elsewhere.empty() ? "not run" : each.tested_cell->elsewhere;
     }
-    std::string const of = std::to_string(each.seeds);
-    return each.failed == 0 ? "ok " + of : "**" + std::to_string(each.failed) + " of " + of + "**";
+    std::string const total = std::to_string(each.seeds);
+    return each.failed == 0 ? "ok " + total
+                            : "**" + std::to_string(each.failed) + " of " + total + "**";
 }
 
-/// \brief Writes one table: a row a step, a column a fault, turned when there are many faults.
+/// \brief Writes one table: a row for each fault, a column for each step.
 void write_table(std::ostream& page, std::vector<outcome> const& outcomes)
 {
     std::vector<std::string> step_names;
@@ -85,16 +86,17 @@
     std::map<std::string, std::string> marks;
     for (outcome const& each : outcomes)
     {
-        cell const& where = *each.where;
-        if (std::find(step_names.begin(), step_names.end(), where.step) == step_names.end())
+        cell const& tested_cell = *each.tested_cell;
+        if (std::find(step_names.begin(), step_names.end(), tested_cell.step) == step_names.end())
         {
-            step_names.push_back(where.step);
+            step_names.push_back(tested_cell.step);
         }
-        if (std::find(fault_names.begin(), fault_names.end(), where.fault) == fault_names.end())
+        if (std::find(fault_names.begin(), fault_names.end(), tested_cell.fault) ==
+            fault_names.end())
         {
-            fault_names.push_back(where.fault);
+            fault_names.push_back(tested_cell.fault);
         }
-        marks[name_of(where)] = mark_of(each);
+        marks[name_of(tested_cell)] = result_text(each);
     }
     page << "| fault |";
     for (std::string const& step : step_names)
@@ -128,11 +130,11 @@
         failed += each.failed != 0 ? 1 : 0;
         if (each.failed != 0)
         {
-            std::printf("%s: %llu of %llu seeds fail, first %llu: %s\n",
-                        name_of(*each.where).c_str(), static_cast<unsigned long long>(each.failed),
-                        static_cast<unsigned long long>(each.seeds),
-                        static_cast<unsigned long long>(each.first_bad_seed),
-                        each.first_violation.c_str());
+            std::printf(
+                "%s: %llu of %llu seeds fail, first %llu: %s\n", name_of(*each.tested_cell).c_str(),
+                static_cast<unsigned long long>(each.failed),
+                static_cast<unsigned long long>(each.seeds),
+                static_cast<unsigned long long>(each.first_bad_seed), each.first_violation.c_str());
         }
     }
     return failed;
@@ -159,14 +161,14 @@
     }
 }
 
-/// \brief How many cells held and how many did not.
+/// \brief Numbers of cells that passed and failed.
 struct totals
 {
     std::uint64_t passed = 0;
     std::uint64_t failed = 0;
 };
 
-/// \brief Writes the cells on processes, with what the file says of their tests.
+/// \brief Writes the cells on processes, with the results of their tests from `file`.
 totals write_processes(std::ostream& page, std::string const& file)
 {
     std::map<std::string, bool> results;
@@ -219,13 +221,13 @@
     std::uint64_t seeds = 0;
     for (part const& each : parts)
     {
-        options with = asked;
-        with.seeds = asked.seeds == 0 ? each.seeds : asked.seeds;
-        std::vector<outcome> const outcomes = run_all(each.cells, with);
+        options part_options = asked;
+        part_options.seeds = asked.seeds == 0 ? each.seeds : asked.seeds;
+        std::vector<outcome> const outcomes = run_all(each.cells, part_options);
         page << "## " << each.title << "\n\n";
         write_table(page, outcomes);
-        std::uint64_t const bad = failed_cells(outcomes);
-        failed += bad;
+        std::uint64_t const failed_here = failed_cells(outcomes);
+        failed += failed_here;
         for (outcome const& one : outcomes)
         {
             passed += one.failed == 0 && one.seeds != 0 ? 1 : 0;
--- a/tests/fleet/request_fleet.hpp
+++ b/tests/fleet/request_fleet.hpp
@@ -32,9 +32,9 @@
 class event_loop
 {
 public:
-    void after(duration wait, std::function<void()> what)
+    void after(duration wait, std::function<void()> callback)
     {
-        events_.push({now_ + wait, ++count_, std::move(what)});
+        events_.push({now_ + wait, ++count_, std::move(callback)});
     }
     void run_until(time_point end)
     {
@@ -43,7 +43,7 @@
             item next = events_.top();
             events_.pop();
             now_ = next.at;
-            next.what();
+            next.callback();
         }
         now_ = end;
     }
@@ -57,7 +57,7 @@
     {
         time_point at;
         std::uint64_t order;
-        std::function<void()> what;
+        std::function<void()> callback;
         bool operator<(item const& other) const
         {
             return std::pair{at, order} > std::pair{other.at, other.order};
@@ -73,11 +73,11 @@
 {
     std::size_t engine;
     state::generation_id id;
-    std::string request;        ///< Body: names the caller's request.
-    std::string const* attempt; ///< The body's address: names the attempt.
+    std::string request;        ///< The body, which names the caller's request.
+    std::string const* attempt; ///< The body's address, which identifies the attempt.
     time_point started;
     std::uint32_t length = 0;
-    std::uint32_t made = 0;
+    std::uint32_t generated = 0;
     bool stopped = false;
 };
 
@@ -94,39 +94,39 @@
 {
     bool alive = true;
     bool refuses = false;
-    bool stalled = false; ///< Makes no token.
+    bool stalled = false; ///< Generates no token.
     time_point leaving_since = state::never;
     std::vector<fake_stream> streams;
     std::map<state::generation_id, std::size_t> runs; ///< Latest run of each identity.
     std::set<std::pair<std::size_t, state::stream_handle>> silent;
 };
 
-/// \brief Mistakes that an engine's answers, or what lies on the way, can make.
+/// \brief Probabilities of wrong tokens on a stream: repeated, of another run, or left out.
 struct wire_faults
 {
     double duplicate = 0;
-    double crossed = 0;
+    double foreign = 0;
     double skipped = 0;
 };
 
 class request_fleet;
 
-/// \brief What callers do is the test's: it is told of every action towards a caller.
-class caller_side
+/// \brief Interface of a test's callers: receives every action that is addressed to a caller.
+class caller_observer
 {
 public:
-    caller_side() = default;
-    caller_side(caller_side const&) = delete;
-    caller_side& operator=(caller_side const&) = delete;
-    virtual ~caller_side() = default;
+    caller_observer() = default;
+    caller_observer(caller_observer const&) = delete;
+    caller_observer& operator=(caller_observer const&) = delete;
+    virtual ~caller_observer() = default;
     virtual void head(state::caller_handle caller, send_head const& head) = 0;
     virtual void token(state::caller_handle caller, send_token const& token) = 0;
     virtual void finished(state::caller_handle caller, send_finished const& end) = 0;
     virtual void refused(state::caller_handle caller, send_refused const& end) = 0;
-    virtual void broken(state::caller_handle caller) = 0;
+    virtual void disconnected(state::caller_handle caller) = 0;
 };
 
-/// \brief One entry VM's request side, with a view of the fleet that lags.
+/// \brief The request side of one entry VM, with a delayed view of the fleet.
 struct fake_node
 {
     node_settings settings;
@@ -135,19 +135,19 @@
     std::unique_ptr<std::atomic<std::uint32_t>> in_flight;
     std::unique_ptr<request_shard> shard;
     fleet_snapshot view;
-    std::map<std::size_t, time_point> heard;
+    std::map<std::size_t, time_point> last_contact;
     std::set<state::caller_handle> callers;
     std::vector<request_event> inbox;
     time_point timer = state::never;
-    std::uint64_t life = 0; ///< Counts uptimes; events of an earlier one are dropped.
+    std::uint64_t life = 0; ///< Counts starts; events of an earlier start are dropped.
     std::size_t zone = 0;
     bool alive = false;
     bool paused = false;
     bool draining = false;
-    bool closed = false; ///< Takes no connection any more.
+    bool closed = false; ///< Accepts no new connections.
 };
 
-/// \brief The nodes, engines and links. Everything is reachable unless `cut` says otherwise.
+/// \brief The nodes, engines and links. Only `cut_zone` is unreachable from the other zones.
 class request_fleet
 {
 public:
@@ -161,16 +161,16 @@
         duration token_gap = 20ms;
     };
 
-    request_fleet(shape const& form, std::uint64_t seed, caller_side& callers)
-        : random{seed}, form_{form}, callers_{callers}
+    request_fleet(shape const& initial_shape, std::uint64_t seed, caller_observer& callers)
+        : random{seed}, shape_{initial_shape}, callers_{callers}
     {
         customer.id = state::id_from_name<state::customer_id>("frescura");
         customer.name = "frescura";
-        nodes.resize(form.nodes);
-        engines.resize(form.engines);
-        for (std::size_t i = 0; i < form.nodes; ++i)
+        nodes.resize(initial_shape.nodes);
+        engines.resize(initial_shape.engines);
+        for (std::size_t i = 0; i < initial_shape.nodes; ++i)
         {
-            nodes[i].zone = i % form.zones;
+            nodes[i].zone = i % initial_shape.zones;
             start_node(i);
         }
     }
@@ -188,7 +188,7 @@
 
     void stop_engine(std::size_t which);
 
-    /// \brief Makes every open connection of an engine silent; new ones work.
+    /// \brief Silences every open connection of an engine; new connections work.
     void silence_engine(std::size_t which);
 
     [[nodiscard]] bool reaches(std::size_t a, std::size_t b) const;
@@ -197,16 +197,16 @@
 
     // -- callers -----------------------------------------------------------------------------
 
-    /// \brief Sends a request; returns no handle when the node can't be connected to.
+    /// \brief Sends a request; returns an empty handle if the node accepts no connection.
     state::caller_handle send(std::size_t node, state::request request);
 
-    void hang_up(std::size_t node, state::caller_handle caller);
+    void disconnect(std::size_t node, state::caller_handle caller);
 
     duration delay();
 
-    // -- the loop's inside -------------------------------------------------------------------
+    // -- events and state -------------------------------------------------------------------
 
-    void to_node(std::size_t which, request_event event);
+    void post_to_node(std::size_t which, request_event event);
 
     void handle(std::size_t which, request_event const& event);
 
@@ -219,43 +219,44 @@
     state::model_id model = state::id_from_name<state::model_id>("lists");
     wire_faults wire;
     std::optional<std::size_t> cut_zone;
-    bool views_frozen = false; ///< The platform's list does not change any more.
-    duration list_lag{};
-    std::vector<std::string> misuse; ///< What engines were asked and must not be.
+    bool upstream_list_frozen = false; ///< The platform's list no longer changes.
+    duration upstream_list_lag{};
+    std::vector<std::string> engine_violations; ///< Requests that engines must not receive.
 
 private:
     void await_drain(std::size_t which, std::uint64_t life);
 
-    void arm(std::size_t which);
+    void arm_timer(std::size_t which);
 
-    // -- members and upstreams as a node sees them, late ---------------------------------------
+    // -- a node's delayed view of members and upstreams -------------------------------------
 
-    void look_round(std::size_t which, std::uint64_t life);
+    void refresh_view(std::size_t which, std::uint64_t life);
 
     void publish_view(std::size_t which);
 
-    state::member member_seen(std::size_t which, std::size_t other,
-                              std::vector<state::member> const& known);
+    state::member observed_member(std::size_t which, std::size_t other,
+                                  std::vector<state::member> const& known);
 
-    void see_engines(fake_node& node);
+    void update_upstream_views(fake_node& node);
 
     // -- engines -----------------------------------------------------------------------------
 
     void carry_out(std::size_t which, open_stream const& open);
 
-    void arrive(std::size_t which, std::size_t at, open_stream const& open, std::uint64_t life);
+    void open_on_engine(std::size_t which, std::size_t at, open_stream const& open,
+                        std::uint64_t life);
 
-    void make_token(std::size_t which);
+    void generate_tokens(std::size_t which);
 
-    /// \brief Sends a stream what it has not got; connections keep their order.
-    void pump(std::size_t at, std::size_t index);
+    /// \brief Sends the tokens that a stream has not received yet, in order.
+    void send_pending_tokens(std::size_t at, std::size_t index);
 
     [[nodiscard]] bool chance(double share);
 
-    /// \brief Names the request, the run and the index, so that a caller can check all three.
-    [[nodiscard]] std::string text_of(std::size_t run, std::uint32_t index) const;
+    /// \brief Returns a text of request, run and index, so that a caller can check all three.
+    [[nodiscard]] std::string token_text(std::size_t run, std::uint32_t index) const;
 
-    void in_order(std::size_t which, request_event event);
+    void deliver_in_order(std::size_t which, request_event event);
 
     void carry_out(std::size_t which, close_stream const& close);
 
@@ -273,20 +274,21 @@
 
     void carry_out(std::size_t which, close_relay const& close);
 
-    /// \brief Hands an action towards a caller to the caller, or to the peer that relays for it.
-    template <class Event, class Action, class Tell>
-    void to_caller(std::size_t which, Action const& action, Event event, Tell tell, bool last)
+    /// \brief Passes an action to its caller, or to the peer that forwards the caller's request.
+    template <class Event, class Action, class Notify>
+    void deliver_to_caller(std::size_t which, Action const& action, Event event, Notify notify,
+                           bool last)
     {
         auto const relay = relays_.find(action.caller);
         if (relay == relays_.end())
         {
-            // The caller's handle is looked up first: what is told may hang up.
+            // The caller's handle is looked up first, because the notified caller may disconnect.
             bool const present = nodes[which].callers.contains(action.caller);
             if (last)
             {
                 nodes[which].callers.erase(action.caller);
             }
-            return present ? (callers_.*tell)(action.caller, action) : void();
+            return present ? (callers_.*notify)(action.caller, action) : void();
         }
         auto const [from, original] = relay->second;
         if (last)
@@ -297,7 +299,7 @@
         if (reaches(which, from))
         {
             event.caller = original;
-            in_order(from, std::move(event));
+            deliver_in_order(from, std::move(event));
         }
     }
 
@@ -309,8 +311,8 @@
 
     void carry_out(std::size_t which, send_refused const& end);
 
-    shape form_;
-    caller_side& callers_;
+    shape shape_;
+    caller_observer& callers_;
     std::map<state::caller_handle, std::pair<std::size_t, state::caller_handle>> relays_;
     std::uint64_t handles_ = 0;
 };
