--- a/scripts/lint_unit.py
+++ b/scripts/lint_unit.py
@@ -22,11 +22,11 @@
 
 def digest(command: list[str]) -> str:
     """Returns a digest of the preprocessed unit and of the linter's settings."""
-    words = [word for word in command if not word.endswith("ccache")]
-    output = words.index("-o")
-    words = words[:output] + words[output + 2 :]
-    words.remove("-c")
-    text = subprocess.run([*words, "-E", "-C", "-P"], capture_output=True, check=True).stdout
+    arguments = [word for word in command if not word.endswith("ccache")]
+    output = arguments.index("-o")
+    arguments = arguments[:output] + arguments[output + 2 :]
+    arguments.remove("-c")
+    text = subprocess.run([*arguments, "-E", "-C", "-P"], capture_output=True, check=True).stdout
     return hashlib.sha256(text + SETTINGS.read_bytes()).hexdigest()
 
 
@@ -36,17 +36,17 @@
     if command is None:
         print(f"lint: {unit} is in no target")
         return 1
-    mark = PASSED / digest(command)
-    if mark.exists():
+    pass_marker = PASSED / digest(command)
+    if pass_marker.exists():
         return 0
-    run = subprocess.run(
+    result = subprocess.run(
         ["clang-tidy", "--quiet", "-p", "build", str(unit)], capture_output=True, text=True
     )
-    if run.returncode != 0:
-        print(run.stdout + run.stderr)
+    if result.returncode != 0:
+        print(result.stdout + result.stderr)
         return 1
     PASSED.mkdir(parents=True, exist_ok=True)
-    mark.touch()
+    pass_marker.touch()
     return 0
 
 
--- a/scripts/plot_measures.py
+++ b/scripts/plot_measures.py
@@ -60,30 +60,30 @@
     width, height, margin = 520, 320, 50
     xs = [p[1] for p in points]
     low, high = min(xs) * 0.98, max(xs) * 1.02
-    lift = 0.1
+    log_offset = 0.1
 
-    def place(tokens, preemptions):
+    def to_position(tokens, preemptions):
         x = margin + (tokens - low) / (high - low) * (width - 2 * margin)
-        part = (math.log10(preemptions + lift) + 1) / 4
-        return x, height - margin - part * (height - 2 * margin)
+        fraction = (math.log10(preemptions + log_offset) + 1) / 4
+        return x, height - margin - fraction * (height - 2 * margin)
 
     out = [f'<svg width="{width}" height="{height}" role="img"><text x="10" y="18">'
            f"{html.escape(title)}</text>"]
     for level in (0, 1, 10, 100, 1000):
-        y = place(low, level)[1]
+        y = to_position(low, level)[1]
         out.append(f'<line x1="{margin}" x2="{width - margin}" y1="{y:.0f}" y2="{y:.0f}" '
                    f'stroke="#ddd"/><text x="8" y="{y + 4:.0f}" font-size="11">{level}</text>')
     for tokens in (low, high):
-        out.append(f'<text x="{place(tokens, 0)[0] - 15:.0f}" y="{height - 28}" font-size="11">'
+        out.append(f'<text x="{to_position(tokens, 0)[0] - 15:.0f}" y="{height - 28}" font-size="11">'
                    f"{tokens:.0f}</text>")
     lines = collections.defaultdict(list)
     for policy, tokens, preemptions in points:
-        lines[policy.split(":")[0]].append((policy, *place(tokens, preemptions)))
-    for name, places in lines.items():
+        lines[policy.split(":")[0]].append((policy, *to_position(tokens, preemptions)))
+    for name, positions in lines.items():
         colour = COLOURS.get(name, "#000")
-        path = " ".join(f"{x:.0f},{y:.0f}" for _, x, y in places)
+        path = " ".join(f"{x:.0f},{y:.0f}" for _, x, y in positions)
         out.append(f'<polyline points="{path}" fill="none" stroke="{colour}" opacity="0.4"/>')
-        for policy, x, y in places:
+        for policy, x, y in positions:
             out.append(f'<circle cx="{x:.0f}" cy="{y:.0f}" r="4" fill="{colour}"><title>'
                        f"{html.escape(policy)}</title></circle>")
     out.append(f'<text x="{width // 2 - 90}" y="{height - 8}" font-size="11">'
--- a/scripts/watch_switches.py
+++ b/scripts/watch_switches.py
@@ -10,7 +10,7 @@
 BOUND_SECONDS = 30.0
 
 
-class Exchange:
+class JsonClient:
     """A kept connection to one address."""
 
     def __init__(self, address: str, key: str = "") -> None:
@@ -21,20 +21,20 @@
     def send(self, method: str, path: str, body: dict | None = None) -> dict:
         text = None if body is None else json.dumps(body)
         self.connection.request(method, path, text, self.headers)
-        answer = self.connection.getresponse().read()
-        return json.loads(answer) if answer else {}
+        response = self.connection.getresponse().read()
+        return json.loads(response) if response else {}
 
 
 def preset_in_force(status: dict) -> str:
     return status["in_force"]["preset"]
 
 
-def wait_for(address: str, key: str, preset: str, begun: float, times: list[float]) -> None:
+def wait_for(address: str, key: str, preset: str, started: float, times: list[float]) -> None:
     """Polls one entry VM until the preset is in force there."""
-    exchange = Exchange(address, key)
-    while time.monotonic() - begun < BOUND_SECONDS:
-        if preset_in_force(exchange.send("GET", "/admin/status")) == preset:
-            times.append(time.monotonic() - begun)
+    client = JsonClient(address, key)
+    while time.monotonic() - started < BOUND_SECONDS:
+        if preset_in_force(client.send("GET", "/admin/status")) == preset:
+            times.append(time.monotonic() - started)
             return
         time.sleep(POLL_SECONDS)
 
@@ -42,9 +42,9 @@
 def measure(switch, entries: list[str], key: str, preset: str) -> list[float]:
     """Calls `switch` and returns each entry VM's time; one that took too long is missing."""
     times: list[float] = []
-    begun = time.monotonic()
+    started = time.monotonic()
     watchers = [
-        threading.Thread(target=wait_for, args=(entry, key, preset, begun, times))
+        threading.Thread(target=wait_for, args=(entry, key, preset, started, times))
         for entry in entries
     ]
     for watcher in watchers:
@@ -55,29 +55,29 @@
     return times
 
 
-def report(name: str, times: list[float], due: int) -> None:
+def report(name: str, times: list[float], expected: int) -> None:
     times.sort()
-    at = lambda share: times[int(share * (len(times) - 1))]
+    percentile = lambda share: times[int(share * (len(times) - 1))]
     print(
-        f"{name}: {len(times)} of {due} in force; p50 {at(0.5):.3f} s, p99 {at(0.99):.3f} s, "
+        f"{name}: {len(times)} of {expected} in force; p50 {percentile(0.5):.3f} s, p99 {percentile(0.99):.3f} s, "
         f"worst {times[-1]:.3f} s"
     )
 
 
 def main() -> int:
-    platform = Exchange(sys.argv[1])
+    platform = JsonClient(sys.argv[1])
     key, switches, entries = sys.argv[2], int(sys.argv[3]), sys.argv[4:]
-    operator = Exchange(entries[0], key)
+    operator = JsonClient(entries[0], key)
 
     def publish(preset: str) -> None:
         platform.send("POST", "/control", {"config": {"switch": {"preset": preset}}})
 
-    def order(preset: str) -> None:
+    def switch_as_operator(preset: str) -> None:
         operator.send("POST", "/admin/preset", {"preset": preset})
 
     missing = 0
-    for name, switch in (("published", publish), ("operator, platform down", order)):
-        if switch is order:
+    for name, switch in (("published", publish), ("operator, platform down", switch_as_operator)):
+        if switch is switch_as_operator:
             platform.send("POST", "/control", {"down": True})
         times: list[float] = []
         for i in range(switches):
--- a/tests/scripts/test_losses.py
+++ b/tests/scripts/test_losses.py
@@ -11,14 +11,14 @@
 sys.dont_write_bytecode = True
 
 
-def script(name):
+def load_script(name):
     loader = importlib.machinery.SourceFileLoader(name, str(ROOT / "scripts" / name))
     module = importlib.util.module_from_spec(importlib.util.spec_from_loader(name, loader))
     loader.exec_module(module)
     return module
 
 
-losses = script("losses")
+losses = load_script("losses")
 
 
 def line(at, decision, call="c-1", part="call", **fields):
@@ -41,7 +41,7 @@
                  line(4, "caller left", "c-3"), line(5, "turned away", "c-4")]
         self.assertEqual(outcomes(*lines), ["on time", "refused: all upstreams are crowded", "caller left by itself"])
 
-    def test_late_ones_tell_what_was_late(self):
+    def test_late_outcome_names_the_missed_objective(self):
         pause = {**ANSWERED, "longest_gap_ms": 700, "on_time": 0}
         stall = {**ANSWERED, "longest_gap_ms": 6300, "on_time": 0}
         start = {**ANSWERED, "first_event_ms": 2500, "on_time": 0}
@@ -49,7 +49,7 @@
                                   line(9, "answered", "c", **start)),
                          ["late: pause up to 1 s", "late: pause over 1 s", "late: first event"])
 
-    def test_a_broken_draft_tells_why_nothing_was_there(self):
+    def test_broken_draft_has_the_reason_why_it_could_not_resume(self):
         self.assertEqual(outcomes(line(1, "sent"), line(2, "broken off", why="the upstream broke off")),
                          ["broken off: no notice, no backup"])
         self.assertEqual(outcomes(line(1, "sent"), line(2, "upstream leaves"), line(2, "first copy ordered"),
@@ -58,10 +58,10 @@
         self.assertEqual(outcomes(line(1, "sent"), line(3, "broken off", why="time is over")),
                          ["broken off: silent until the caller's patience was over"])
 
-    def test_a_refusal_of_one_that_comes_back_is_the_last(self):
+    def test_refused_retry_has_its_own_outcome(self):
         self.assertEqual(outcomes(line(1, "refused", why="crowded", comes_back=1)), ["refused again: crowded"])
 
-    def test_calls_end_with_their_vm_and_the_hopeless_are_told(self):
+    def test_restart_of_the_vm_ends_its_calls_and_counts_the_unfinishable(self):
         calls, _ = losses.collect([line(1_000, "sent"), line(5_000, "sent", "c-2", age_ms=0),
                                    line(9_000, "started", "", part="process")])
         self.assertEqual([call.outcome for call in calls], ["ended with its VM"] * 2)
@@ -69,12 +69,12 @@
         class Pace:
             token_ms, prompt_tokens_per_ms = 7.1, 14.0
         # 2,800 tokens to read and 900 to make take 6.6 s on an empty engine.
-        self.assertEqual([losses.could_have_ended(call, Pace) for call in calls], [True, False])
+        self.assertEqual([losses.could_have_finished(call, Pace) for call in calls], [True, False])
 
-    def test_what_still_runs_is_not_lost(self):
+    def test_unfinished_call_of_a_running_vm_is_not_lost(self):
         self.assertEqual(outcomes(line(1, "sent")), ["still running"])
 
-    def test_text_before_a_line_and_torn_lines_are_passed_over(self):
+    def test_text_before_a_line_and_truncated_lines_are_skipped(self):
         file = pathlib.Path(self.id() + ".tmp")
         file.write_text("  20.1 vm-1 " + json.dumps(line(1, "sent")) + "\n{\"time_ms\": 5, \"no\nother text\n")
         try:
@@ -85,10 +85,10 @@
 
 class Compare(unittest.TestCase):
     def setUp(self):
-        self.compare = script("compare")
+        self.compare = load_script("compare")
 
     def test_mean_and_twice_its_standard_error(self):
-        self.assertEqual(self.compare.with_error([0.1, 0.3]), "+0.2000 ± 0.2000")
+        self.assertEqual(self.compare.mean_with_error([0.1, 0.3]), "+0.2000 ± 0.2000")
 
     def test_calls_add_up_by_kind(self):
         row = {"name": "draft", "n": 4, "in_aim": 2, "late": 1, "refused": 0, "failed": 1}
@@ -103,7 +103,7 @@
                  {**line(2, "source ended", "b", upstream="i-2", **broke), "node": "vm-2"},
                  line(2, "source ended", "c", upstream="i-2", why="connection broke", request="r-2"),
                  line(3, "refused", "d", upstream="i-3", why="time is over", request="r-1")]
-        self.assertEqual(losses.broken_under(lines), {"r-1": ({"i-1", "i-2"}, {"vm-1", "vm-2"}, {"a", "b"})})
+        self.assertEqual(losses.upstreams_broken_by_request(lines), {"r-1": ({"i-1", "i-2"}, {"vm-1", "vm-2"}, {"a", "b"})})
 
 
 if __name__ == "__main__":
--- a/tests/soak/bench_forward.py
+++ b/tests/soak/bench_forward.py
@@ -20,17 +20,17 @@
 EVENTS = 60
 
 
-class Steady(soak.Upstream):
+class SteadyUpstream(soak.Upstream):
     """Answers at once, and streams events without pauses longer than 10 ms."""
 
     async def handle(self, message, writer):
         start, headers, _ = message
         target = start.split(" ")[1]
         if target.startswith("/v1/"):
-            return writer.write(soak_answer(b"{}"))
+            return writer.write(http_response(b"{}"))
         head = [("Plumdale-Request-Id", headers.get("plumdale-request-id", "")), ("Plumdale-Response-Seal", "s")]
         if not target.startswith("/draft/"):
-            return writer.write(soak_answer(b"x" * 800, head))
+            return writer.write(http_response(b"x" * 800, head))
         lines = ["HTTP/1.1 200 OK", *(f"{n}: {v}" for n, v in head), "Content-Type: text/event-stream",
                  "Transfer-Encoding: chunked"]
         writer.write(("\r\n".join(lines) + "\r\n\r\n").encode())
@@ -41,12 +41,12 @@
         writer.write(b"0\r\n\r\n")
 
 
-def soak_answer(body, fields=()):
+def http_response(body, fields=()):
     lines = ["HTTP/1.1 200 OK", *(f"{n}: {v}" for n, v in fields), f"Content-Length: {len(body)}"]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-def processor_s(pid):
+def cpu_seconds(pid):
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) * TICK_S
 
@@ -88,35 +88,35 @@
     parser.add_argument("--calls", type=int, default=4000)
     parser.add_argument("--streams", type=int, default=60)
     parser.add_argument("--binary", default="build/bin/plumdaled")
-    chosen = parser.parse_args()
-    soak.Upstream = Steady
+    options = parser.parse_args()
+    soak.Upstream = SteadyUpstream
     asyncio.get_running_loop().set_exception_handler(soak.report)
-    fleet = soak.Fleet(77, chosen.binary, pathlib.Path(tempfile.mkdtemp(prefix="plumdale-bench-")))
+    fleet = soak.Fleet(77, options.binary, pathlib.Path(tempfile.mkdtemp(prefix="plumdale-bench-")))
     try:
         await fleet.start()
         for number in (2, 3):
             fleet.vms[number].kill()
         await asyncio.sleep(4.0)
         pid, vm = fleet.vms[1].pid, (f"{fleet.host}.1", 18080)
-        straight = tuple(next(u for u in fleet.upstreams.values() if u.entry["service"] == "plain").entry["address"]
+        upstream_address = tuple(next(u for u in fleet.upstreams.values() if u.entry["service"] == "plain").entry["address"]
                          .rsplit(":", 1))
-        direct = await plain_calls(straight, chosen.calls, "direct")
-        rest_kb, before = resident_kb(pid), processor_s(pid)
-        through = await plain_calls(vm, chosen.calls, "through")
-        used = processor_s(pid) - before
-        print(f"plain call: {1e6 * used / chosen.calls:.0f} us of processor time; delay added "
-              f"p50 {1e3 * (through[len(through) // 2] - direct[len(direct) // 2]):.2f} ms, "
-              f"p99 {1e3 * (through[len(through) * 99 // 100] - direct[len(direct) * 99 // 100]):.2f} ms")
-        before = processor_s(pid)
-        running = [asyncio.create_task(stream(vm, f"draft-{number}")) for number in range(chosen.streams)]
+        direct = await plain_calls(upstream_address, options.calls, "direct")
+        rest_kb, before = resident_kb(pid), cpu_seconds(pid)
+        forwarded = await plain_calls(vm, options.calls, "through")
+        cpu_used = cpu_seconds(pid) - before
+        print(f"plain call: {1e6 * cpu_used / options.calls:.0f} us of processor time; delay added "
+              f"p50 {1e3 * (forwarded[len(forwarded) // 2] - direct[len(direct) // 2]):.2f} ms, "
+              f"p99 {1e3 * (forwarded[len(forwarded) * 99 // 100] - direct[len(direct) * 99 // 100]):.2f} ms")
+        before = cpu_seconds(pid)
+        running = [asyncio.create_task(stream(vm, f"draft-{number}")) for number in range(options.streams)]
         await asyncio.sleep(0.4)
         open_kb = resident_kb(pid) - rest_kb
         events = sum(await asyncio.gather(*running))
-        used = processor_s(pid) - before
-        print(f"stream event: {1e6 * used / max(1, events):.0f} us of processor time, {events} events, opening of the "
+        cpu_used = cpu_seconds(pid) - before
+        print(f"stream event: {1e6 * cpu_used / max(1, events):.0f} us of processor time, {events} events, opening of the "
               "streams included")
-        print(f"memory: {rest_kb / 1024:.1f} MB at rest, {open_kb / chosen.streams:.1f} KB for each open stream")
-        return 0 if events == chosen.streams * EVENTS else 1
+        print(f"memory: {rest_kb / 1024:.1f} MB at rest, {open_kb / options.streams:.1f} KB for each open stream")
+        return 0 if events == options.streams * EVENTS else 1
     finally:
         await fleet.stop()
 
--- a/tests/soak/platform_standin.py
+++ b/tests/soak/platform_standin.py
@@ -13,17 +13,17 @@
 SEAL = "Plumdale-Response-Seal"
 # The users' rule: a generation may go on elsewhere while its former upstream still works on it for this long, in
 # seconds; a reset takes a moment to reach it.
-OVERLAP_ALLOWED = 0.4
+MAX_OVERLAP_S = 0.4
 # An order of evacuation is in force at VMs that hear anything within this, in seconds: our aim of 1 s, doubled for a
 # machine that other work shares.
-IN_FORCE_WITHIN = 2.0
+MAX_EVACUATION_DELAY_S = 2.0
 # A request with this body ends each upstream that runs it. After the third end and a time for all VMs to hear of it, in
 # seconds, it may reach so many more; a VM that was ended or paused less than that time ago excuses what arrives.
 ENDING_BODY = b"ends its upstream"
-CONTACT, ENDS_ALLOWED, MORE_ALLOWED = 3.0, 3, 3
+PROPAGATION_S, MAX_ENDS, MAX_LATE_SENDS = 3.0, 3, 3
 # An upstream that states how many requests a second it takes may get one and a half times as many, and some, in a window of
 # so many seconds.
-LIMIT_WINDOW, LIMIT_PART, LIMIT_SLACK = 4.0, 1.5, 5
+LIMIT_WINDOW_S, LIMIT_FACTOR, LIMIT_SLACK = 4.0, 1.5, 5
 CONFIGURATION = {
     "routes": [
         {"name": "fetch", "host": "soak", "prefix": "/fetch/", "routeType": "idempotent", "timeoutMs": 4000,
@@ -51,7 +51,7 @@
         return None
 
 
-def answer(status, body=b"", fields=()):
+def http_response(status, body=b"", fields=()):
     lines = [f"HTTP/1.1 {status} Text", f"Content-Length: {len(body)}", *(f"{n}: {v}" for n, v in fields)]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
@@ -67,12 +67,12 @@
         self.items, self.revision, self.log, self.changed, self.down = {}, 0, [], asyncio.Event(), False
         self.era, self.values = 1, {}
 
-    def copy(self):
+    def snapshot(self):
         return dict(self.items), self.revision, list(self.log)
 
-    def come_back(self, copy):
+    def restore(self, snapshot):
         """All that was written since the copy is gone, and its revisions are given out again."""
-        self.items, self.revision, self.log = dict(copy[0]), copy[1], list(copy[2])
+        self.items, self.revision, self.log = dict(snapshot[0]), snapshot[1], list(snapshot[2])
         self.era += 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -93,19 +93,19 @@
 
     async def page(self, target):
         path, _, query = target.partition("?")
-        asked = dict(part.split("=", 1) for part in query.split("&") if "=" in part)
-        name = next(iter(asked.values()), "").replace("%2F", "/")
+        parameters = dict(part.split("=", 1) for part in query.split("&") if "=" in part)
+        name = next(iter(parameters.values()), "").replace("%2F", "/")
         if path.endswith("kv-key"):
             return {**self.items[name], "atRev": self.revision} if name in self.items else None
         if path.endswith("kv-range"):
             found = [item for key, item in self.items.items() if key.startswith(name)]
             return {"items": found, "hasMore": False, "atRev": self.revision}
-        after, era = int(asked["afterRev"]), self.era
+        after, era = int(parameters["afterRev"]), self.era
         if after > self.revision:
             return GONE
         if not [item for item in self.log if item["revision"] > after]:
             try:
-                await asyncio.wait_for(self.changed.wait(), int(asked["maxWaitMs"]) / 1000)
+                await asyncio.wait_for(self.changed.wait(), int(parameters["maxWaitMs"]) / 1000)
             except asyncio.TimeoutError:
                 pass
         if era != self.era:
@@ -116,7 +116,7 @@
         while message := await read_message(reader):
             page = None if self.down else await self.page(message[0].split(" ")[1])
             status = 503 if self.down else 404 if page is None else 410 if page is GONE else 200
-            writer.write(answer(status, json.dumps(page).encode(), [("Store-Era", str(self.era))]))
+            writer.write(http_response(status, json.dumps(page).encode(), [("Store-Era", str(self.era))]))
         writer.close()
 
 
@@ -127,7 +127,7 @@
     """
 
     def __init__(self, length):
-        self.length, self.made, self.workers, self.stopped, self.starts = length, 0, {}, None, 1
+        self.length, self.generated, self.active_upstreams, self.stopped, self.start_count = length, 0, {}, None, 1
         # Address of the upstream that keeps a backup, and its start when the backup was asked for.
         self.backup = None
 
@@ -136,24 +136,24 @@
     """What all upstreams ran, and the broken promises that they saw themselves."""
 
     def __init__(self):
-        self.runs, self.plain, self.refused_after, self.broken = {}, {}, set(), []
+        self.runs, self.plain_runs, self.refused_after, self.violations = {}, {}, set(), []
         self.copies, self.handles = {}, itertools.count(1)
         # Start of the upstream at each address; memory that was kept there ends with it.
-        self.starts = {}
+        self.upstream_starts = {}
         # When each zone's evacuation was ordered; how many faults keep VMs from hearing of it, and when one last did.
-        self.evacuated, self.disturbing, self.disturbed = {}, 0, 0.0
+        self.evacuated_at, self.active_delivery_faults, self.last_delivery_fault_end = {}, 0, 0.0
         # When upstreams ended under the request that ends them, and how often it was sent on later than is allowed.
-        self.ends, self.sent_on, self.vms_disturbed = [], 0, 0.0
+        self.end_times, self.late_sends, self.vm_fault_until = [], 0, 0.0
 
     def note_ending_request(self):
         """Another upstream got the request that ends them."""
         now = asyncio.get_running_loop().time()
-        is_late = len(self.ends) >= ENDS_ALLOWED and now > self.ends[ENDS_ALLOWED - 1] + CONTACT
-        if is_late and now > self.vms_disturbed + CONTACT:
-            self.sent_on += 1
-        if self.sent_on == MORE_ALLOWED + 1:
-            self.broken.append(f"a request under which {len(self.ends)} upstreams ended was sent to more of them")
-        self.ends.append(now)
+        is_late = len(self.end_times) >= MAX_ENDS and now > self.end_times[MAX_ENDS - 1] + PROPAGATION_S
+        if is_late and now > self.vm_fault_until + PROPAGATION_S:
+            self.late_sends += 1
+        if self.late_sends == MAX_LATE_SENDS + 1:
+            self.violations.append(f"a request under which {len(self.end_times)} upstreams ended was sent to more of them")
+        self.end_times.append(now)
 
 
 class Upstream:
@@ -162,12 +162,12 @@
 
     def __init__(self, name, record, seed, zone):
         self.zone = zone
-        self.born, self.address, self.dead_writers = 1_784_177_000_000, None, set()
+        self.born, self.address, self.stale_writers = 1_784_177_000_000, None, set()
         self.name, self.record, self.random = name, record, random.Random(seed)
         self.writers, self.alive, self.unreachable_until, self.leaves_at = set(), True, 0.0, None
-        self.ended = self.crash
+        self.on_end = self.crash
         # What it states that it takes, since when, and when requests came since.
-        self.limit, self.limited_since, self.arrived = None, 0.0, collections.deque()
+        self.limit, self.limited_since, self.arrivals = None, 0.0, collections.deque()
 
     async def serve(self, reader, writer):
         self.writers.add(writer)
@@ -186,68 +186,68 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    def state_limit(self, per_second):
+    def announce_limit(self, per_second):
         self.limit, self.limited_since = per_second, asyncio.get_running_loop().time()
 
-    def note_arrival(self, call):
+    def check_request_rate(self, call):
         """Requests count from when all VMs had the time to hear of the limit, without those that were held up."""
         now = asyncio.get_running_loop().time()
-        excused = now < max(self.limited_since, self.record.vms_disturbed) + CONTACT or now < self.unreachable_until + LIMIT_WINDOW
-        if self.limit is None or excused:
-            return self.arrived.clear()
-        self.arrived.append(now)
-        while self.arrived[0] < now - LIMIT_WINDOW:
-            self.arrived.popleft()
-        if len(self.arrived) > LIMIT_PART * LIMIT_WINDOW * self.limit + LIMIT_SLACK:
-            self.record.broken.append(f"{call}: {self.name} takes {self.limit} a second and got {len(self.arrived)} in {LIMIT_WINDOW} s")
+        is_excused = now < max(self.limited_since, self.record.vm_fault_until) + PROPAGATION_S or now < self.unreachable_until + LIMIT_WINDOW_S
+        if self.limit is None or is_excused:
+            return self.arrivals.clear()
+        self.arrivals.append(now)
+        while self.arrivals[0] < now - LIMIT_WINDOW_S:
+            self.arrivals.popleft()
+        if len(self.arrivals) > LIMIT_FACTOR * LIMIT_WINDOW_S * self.limit + LIMIT_SLACK:
+            self.record.violations.append(f"{call}: {self.name} takes {self.limit} a second and got {len(self.arrivals)} in {LIMIT_WINDOW_S} s")
 
     def restart(self, silent):
         """A later start with nothing of before. Connections are reset, or stay silent as after a loss of power."""
         self.born += 1000
         self.leaves_at = None
-        self.record.starts[self.address] = self.born
+        self.record.upstream_starts[self.address] = self.born
         for writer in list(self.writers):
-            self.dead_writers.add(writer)
+            self.stale_writers.add(writer)
             if not silent:
                 writer.transport.abort()
 
     async def handle(self, message, writer):
-        if writer in self.dead_writers:
+        if writer in self.stale_writers:
             return
         start, headers, body = message
         method, target, _ = start.split(" ")
         if target.startswith("/v1/kv-move"):
             return await self.move(json.loads(body), writer)
         if target.startswith("/v1/report"):
-            return writer.write(answer(200, json.dumps(self.report()).encode()))
+            return writer.write(http_response(200, json.dumps(self.report()).encode()))
         if target.startswith("/v1/"):
-            return writer.write(answer(200, b"{}"))
+            return writer.write(http_response(200, b"{}"))
         call, expected = headers.get("plumdale-request-id", ""), headers.get("plumdale-expect-instance")
         fields = [("Plumdale-Request-Id", call)]
-        self.note_arrival(call)
+        self.check_request_rate(call)
         if self.limit is not None:
             fields.append(("Server-Limit", f"{self.limit:.1f}"))
         if expected != self.name:
-            return writer.write(answer(421, b"", [*fields, ("Plumdale-Not-Executed", "1")]))
+            return writer.write(http_response(421, b"", [*fields, ("Plumdale-Not-Executed", "1")]))
         self.check_evacuation(call)
         if "plumdale-key" in headers or headers.get("plumdale-tenant") != "customer":
-            self.record.broken.append(f"{call}: key passed on or wrong customer")
+            self.record.violations.append(f"{call}: key passed on or wrong customer")
         if body == ENDING_BODY:
             if "kv-from" not in headers:
-                self.record.plain[call] = self.record.plain.get(call, 0) + 1
-            return await self.end_under(target, writer, fields)
+                self.record.plain_runs[call] = self.record.plain_runs.get(call, 0) + 1
+            return await self.end_during_request(target, writer, fields)
         if target.startswith("/draft/"):
             return await self.generate(call, headers, writer, fields)
         if self.random.random() < 0.03:
-            return writer.write(answer(503, b"", [*fields, ("Plumdale-Not-Executed", "1")]))
-        self.record.plain[call] = self.record.plain.get(call, 0) + 1
+            return writer.write(http_response(503, b"", [*fields, ("Plumdale-Not-Executed", "1")]))
+        self.record.plain_runs[call] = self.record.plain_runs.get(call, 0) + 1
         await asyncio.sleep(self.random.uniform(0.002, 0.03))
         if self.random.random() < 0.02:
             return writer.transport.abort()
         failed = target.startswith("/fetch/") and self.random.random() < 0.1
-        writer.write(answer(500 if failed else 200, f"answer {call}".encode(), [*fields, (SEAL, "s")]))
+        writer.write(http_response(500 if failed else 200, f"answer {call}".encode(), [*fields, (SEAL, "s")]))
 
-    async def end_under(self, target, writer, fields):
+    async def end_during_request(self, target, writer, fields):
         """Ends before its answer, or in the midst of a stream's first events."""
         await asyncio.sleep(self.random.uniform(0.0, 0.1))
         if not self.alive:
@@ -259,12 +259,12 @@
             writer.write(("\r\n".join(head) + "\r\n\r\n").encode() + f"{len(event):x}\r\n".encode() + event + b"\r\n")
             await writer.drain()
             await asyncio.sleep(0.02)
-        self.ended()
+        self.on_end()
 
     def check_evacuation(self, call):
-        now, ordered = asyncio.get_running_loop().time(), self.record.evacuated.get(self.zone)
-        if self.record.disturbing == 0 and ordered is not None and now - max(ordered, self.record.disturbed) > IN_FORCE_WITHIN:
-            self.record.broken.append(f"{call}: reached {self.name} {now - ordered:.1f} s after its zone was evacuated")
+        now, ordered = asyncio.get_running_loop().time(), self.record.evacuated_at.get(self.zone)
+        if self.record.active_delivery_faults == 0 and ordered is not None and now - max(ordered, self.record.last_delivery_fault_end) > MAX_EVACUATION_DELAY_S:
+            self.record.violations.append(f"{call}: reached {self.name} {now - ordered:.1f} s after its zone was evacuated")
 
     def report(self):
         """As of half a second ago: the departure was that much farther away."""
@@ -275,37 +275,37 @@
 
     async def move(self, order, writer):
         run = self.record.runs.get(order["id"])
-        if run is None or self not in run.workers.values():
-            return writer.write(answer(404))
+        if run is None or self not in run.active_upstreams.values():
+            return writer.write(http_response(404))
         await asyncio.sleep(0.02)
         handle = f"h{next(self.record.handles)}"
         self.record.copies[handle] = order["id"]
         if order["isLast"]:
             run.stopped = self
-        writer.write(answer(200, json.dumps({"handleId": handle, "createdRev": run.made}).encode()))
+        writer.write(http_response(200, json.dumps({"handleId": handle, "createdRev": run.generated}).encode()))
 
     async def generate(self, call, headers, writer, fields):
         runs = self.record.runs
         if resumed := headers.get("kv-from"):
             handle = resumed.split("/", 1)[1]
             run = runs.get(self.record.copies.pop(handle, handle))
-            kept = run is not None and run.backup is not None and self.record.starts.get(run.backup[0]) == run.backup[1]
-            if run is None or (handle == call and not kept):
-                return writer.write(answer(503, b"", [*fields, ("Plumdale-Not-Executed", "1")]))
+            has_backup = run is not None and run.backup is not None and self.record.upstream_starts.get(run.backup[0]) == run.backup[1]
+            if run is None or (handle == call and not has_backup):
+                return writer.write(http_response(503, b"", [*fields, ("Plumdale-Not-Executed", "1")]))
             if runs.get(call) is not run:
-                self.record.broken.append(f"{call}: goes on from the memory of another call")
-            for attempt in run.workers:
-                asyncio.get_running_loop().call_later(OVERLAP_ALLOWED, self.check_stopped, call, run, attempt)
+                self.record.violations.append(f"{call}: goes on from the memory of another call")
+            for attempt in run.active_upstreams:
+                asyncio.get_running_loop().call_later(MAX_OVERLAP_S, self.check_stopped, call, run, attempt)
             run.stopped = None
             first = int(headers["last-event-id"])
         elif call in runs:
-            runs[call].starts += 1
-            return writer.write(answer(500, b"", fields))
+            runs[call].start_count += 1
+            return writer.write(http_response(500, b"", fields))
         else:
             run, first = Run(self.random.randint(10, 90)), 0
             runs[call] = run
-        keeper = headers.get("plumdale-kv-backup")
-        run.backup = (keeper, self.record.starts.get(keeper)) if keeper else None
+        backup_address = headers.get("plumdale-kv-backup")
+        run.backup = (backup_address, self.record.upstream_starts.get(backup_address)) if backup_address else None
         head = ["HTTP/1.1 200 OK", *(f"{n}: {v}" for n, v in fields), f"{SEAL}: s",
                 "Content-Type: text/event-stream", "Transfer-Encoding: chunked"]
         writer.write(("\r\n".join(head) + "\r\n\r\n").encode())
@@ -313,24 +313,24 @@
 
     def check_stopped(self, call, run, attempt):
         """An upstream that the entry VM reaches has stopped by now: its connection was closed or reset."""
-        other = run.workers.get(attempt)
+        other = run.active_upstreams.get(attempt)
         if other is not None and other.alive and asyncio.get_running_loop().time() > other.unreachable_until:
-            self.record.broken.append(f"{call}: goes on at {self.name} while {other.name} still works on it")
+            self.record.violations.append(f"{call}: goes on at {self.name} while {other.name} still works on it")
 
     async def stream(self, run, first, writer):
         attempt = object()
-        run.workers[attempt] = self
+        run.active_upstreams[attempt] = self
         try:
             for index in range(first + 1, run.length + 1):
                 await asyncio.sleep(self.random.uniform(0.01, 0.05))
-                if writer in self.dead_writers:
+                if writer in self.stale_writers:
                     return
                 if run.stopped is self or not self.alive or writer.is_closing():
                     return writer.close()
                 event = f"id: {index}\ndata: {index} of {run.length}\n\n".encode()
                 writer.write(f"{len(event):x}\r\n".encode() + event + b"\r\n")
                 await writer.drain()
-                run.made = max(run.made, index)
+                run.generated = max(run.generated, index)
             writer.write(b"0\r\n\r\n")
         finally:
-            del run.workers[attempt]
+            del run.active_upstreams[attempt]
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -20,10 +20,10 @@
 
 from platform_standin import CONFIGURATION, ENDING_BODY, Record, Store, Upstream
 
-PROMISES_NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 # Seeds that failed once, and why; all are run with --kept.
-KEPT = {
+REGRESSION_SEEDS = {
     10: "a draft went on while its upstream's end of the connection was not read yet; the rule allows 0.4 s",
     11: "as 10", 18: "as 10", 24: "as 10", 32: "as 10", 40: "as 10",
     108: "a draft went from one upstream to a second and back within 0.4 s; the check took the third attempt for the first",
@@ -34,14 +34,14 @@
     """Passes bytes between a port of its own and a handler; can delay, silence or reset its connections."""
 
     def __init__(self, target, upstream=None):
-        self.target, self.upstream, self.links, self.silent, self.delay = target, upstream, set(), False, 0.0
+        self.target, self.upstream, self.connections, self.silent, self.delay = target, upstream, set(), False, 0.0
 
     async def serve(self, reader, writer):
         far_reader, far_writer = await asyncio.open_connection(*self.target)
-        link = (writer, far_writer)
-        self.links.add(link)
+        connection = (writer, far_writer)
+        self.connections.add(connection)
         await asyncio.gather(self.pump(reader, far_writer), self.pump(far_reader, writer))
-        self.links.discard(link)
+        self.connections.discard(connection)
 
     async def pump(self, reader, writer):
         try:
@@ -56,7 +56,7 @@
         writer.close()
 
     def reset(self):
-        for near, far in list(self.links):
+        for near, far in list(self.connections):
             near.transport.abort()
             far.transport.abort()
 
@@ -66,7 +66,7 @@
         self.seed, self.binary, self.folder, self.random = seed, binary, folder, random.Random(seed)
         self.host = f"127.{10 + seed % 200}.{1 + seed // 200 % 250}"
         self.record, self.store, self.upstreams, self.proxies = Record(), Store(), {}, []
-        self.vms, self.calls, self.next_name, self.servers, self.ending = {}, {}, 0, [], False
+        self.vms, self.calls, self.next_name, self.servers, self.stopping = {}, {}, 0, [], False
         self.started, self.starting = [], set()
 
     async def listen(self, handler, address=None):
@@ -76,14 +76,14 @@
 
     async def add_upstream(self, service):
         self.next_name += 1
-        zone = "a" if self.seed in KEPT or self.next_name % 2 else "b"
+        zone = "a" if self.seed in REGRESSION_SEEDS or self.next_name % 2 else "b"
         upstream = Upstream(f"i-{self.next_name}", self.record, self.seed * 1000 + self.next_name, zone)
         proxy = Proxy(await self.listen(upstream.serve), upstream)
         self.proxies.append(proxy)
         host, port = await self.listen(proxy.serve)
         upstream.address = f"{host}:{port}"
-        self.record.starts[upstream.address] = upstream.born
-        upstream.ended = lambda: asyncio.create_task(self.replace(upstream))
+        self.record.upstream_starts[upstream.address] = upstream.born
+        upstream.on_end = lambda: asyncio.create_task(self.replace(upstream))
         upstream.entry = {"service": service, "address": upstream.address, "zone": zone, "version": "v1", "slots": 24,
                           "state": "ready", "coldLeftMs": 0 if self.next_name <= 5 else 1000, "sequence": 1, "born": upstream.born}
         self.upstreams[upstream.name] = upstream
@@ -100,7 +100,7 @@
             await self.start_vm(number)
 
     async def start_vm(self, number):
-        if self.ending:
+        if self.stopping:
             return
         address = f"{self.host}.{number}"
         settings = {"mode": "forward", "name": f"vm-{number}", "zone": "a", "callers": f"{address}:18080",
@@ -116,7 +116,7 @@
         self.started.append(process)
 
     async def stop(self):
-        self.ending = True
+        self.stopping = True
         for process in self.started:
             if process.returncode is None:
                 process.kill()
@@ -126,7 +126,7 @@
 
     # -- callers ----------------------------------------------------------------------------------
 
-    async def ending_calls(self, until):
+    async def send_ending_calls(self, until):
         """The same request under new ids at any VM, as a caller that doesn't give up sends it."""
         kind, number = self.random.choice(("event", "draft", "fetch") if self.seed % 2 else ("draft",)), 0
         while asyncio.get_running_loop().time() < until:
@@ -137,8 +137,8 @@
     async def call(self, number, kind=None, path=None, body=b""):
         kind = kind or self.random.choice(("fetch", "event", "event", "draft"))
         call = f"{self.seed:x}-{number}"
-        seen = {"kind": kind, "status": None, "whole": False, "body": b""}
-        self.calls[call] = seen
+        observed = {"kind": kind, "status": None, "whole": False, "body": b""}
+        self.calls[call] = observed
         fields = {"Host": "soak", "Plumdale-Request-Id": call, "Plumdale-Key": "key",
                   "Plumdale-Request-Deadline-Ms": "15000" if kind == "draft" else "3000", "Content-Length": str(len(body))}
         if kind == "draft":
@@ -148,58 +148,58 @@
             vm = f"{self.host}.{self.random.randint(1, 3)}"
             reader, writer = await asyncio.wait_for(asyncio.open_connection(vm, 18080), 1)
             writer.write(text.encode() + body)
-            leaves = self.random.random() < 0.05
-            await asyncio.wait_for(self.read_answer(reader, seen), self.random.uniform(0, 1) if leaves else 20)
+            disconnects = self.random.random() < 0.05
+            await asyncio.wait_for(self.read_answer(reader, observed), self.random.uniform(0, 1) if disconnects else 20)
             writer.close()
         except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
             pass
 
-    async def read_answer(self, reader, seen):
+    async def read_answer(self, reader, observed):
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
-        seen["status"], seen["head"] = int(head.split(" ")[1]), head
+        observed["status"], observed["head"] = int(head.split(" ")[1]), head
         if "transfer-encoding: chunked" not in head:
             length = int(head.split("content-length:")[1].split("\r\n")[0])
-            seen["body"] = await reader.readexactly(length)
-            seen["whole"] = True
+            observed["body"] = await reader.readexactly(length)
+            observed["whole"] = True
             return
         while size := int(await reader.readuntil(b"\r\n"), 16):
-            seen["body"] += (await reader.readexactly(size + 2))[:-2]
-        seen["whole"] = True
+            observed["body"] += (await reader.readexactly(size + 2))[:-2]
+        observed["whole"] = True
 
     # -- faults -----------------------------------------------------------------------------------
 
     async def fault(self):
-        faults = (self.pause_vm, self.kill_vm, self.stop_vm, self.leave, self.crash, self.store_down, self.disturb_links)
+        faults = (self.pause_vm, self.kill_vm, self.stop_vm, self.drain_upstream, self.crash_upstream, self.store_down, self.disturb_links)
         # Seeds that are kept play what they played when they failed.
-        if self.seed not in KEPT:
+        if self.seed not in REGRESSION_SEEDS:
             # Each third seed leaves the VMs alone: what they have to know then, none has an excuse not to.
             faults = faults[3:] if self.seed % 3 == 2 else faults
-            faults += (self.store_comes_back, self.start_again, self.start_again_while_leaving, self.damage_entry, self.evacuate)
+            faults += (self.restore_store, self.restart_upstream, self.restart_while_leaving, self.damage_entry, self.evacuate)
         fault = self.random.choice(faults)
-        if fault not in (self.pause_vm, self.kill_vm, self.stop_vm, self.store_down, self.disturb_links, self.store_comes_back):
+        if fault not in (self.pause_vm, self.kill_vm, self.stop_vm, self.store_down, self.disturb_links, self.restore_store):
             return await fault()
         # These keep VMs from hearing of an order.
-        self.record.disturbing += 1
+        self.record.active_delivery_faults += 1
         await fault()
-        self.record.disturbing -= 1
-        self.record.disturbed = asyncio.get_running_loop().time()
+        self.record.active_delivery_faults -= 1
+        self.record.last_delivery_fault_end = asyncio.get_running_loop().time()
 
     async def evacuate(self):
         """A zone's upstreams get nothing for some seconds, once or twice in a row; the value of the order is anything."""
         zone = self.random.choice(("a", "b"))
-        if zone in self.record.evacuated:
+        if zone in self.record.evacuated_at:
             return
         for _ in range(self.random.choice((1, 1, 2))):
             self.store.put(f"op/evacuate/{zone}", self.random.choice(("", [], {"since": 1})))
-            self.record.evacuated[zone] = asyncio.get_running_loop().time()
+            self.record.evacuated_at[zone] = asyncio.get_running_loop().time()
             await asyncio.sleep(self.random.uniform(0.5, 4.0))
-            del self.record.evacuated[zone]
+            del self.record.evacuated_at[zone]
             self.store.put(f"op/evacuate/{zone}", None)
             await asyncio.sleep(self.random.uniform(0.0, 0.2))
 
     async def pause_vm(self):
         process = self.vms[self.random.randint(1, 3)]
-        self.record.vms_disturbed = asyncio.get_running_loop().time() + 1.5
+        self.record.vm_fault_until = asyncio.get_running_loop().time() + 1.5
         if process.returncode is None:
             process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(self.random.uniform(0.2, 1.5))
@@ -209,7 +209,7 @@
     async def end_vm(self, how):
         number = self.random.randint(1, 3)
         process = self.vms[number]
-        self.record.vms_disturbed = asyncio.get_running_loop().time() + 4.0
+        self.record.vm_fault_until = asyncio.get_running_loop().time() + 4.0
         if process.returncode is None:
             process.send_signal(how)
             process.send_signal(signal.SIGCONT)
@@ -226,22 +226,22 @@
     async def stop_vm(self):
         await self.end_vm(signal.SIGTERM)
 
-    def some_upstream(self):
+    def pick_upstream(self):
         """Not the one that states a limit: it lives on, so that what it gets can be counted."""
         return self.random.choice([u for u in self.upstreams.values() if u.alive and u.limit is None])
 
-    async def leave(self):
-        upstream = self.some_upstream()
+    async def drain_upstream(self):
+        upstream = self.pick_upstream()
         self.store.put(f"servers/{upstream.name}", {**upstream.entry, "state": "draining"})
-        lasts = self.random.uniform(1.2, 2.0)
+        duration = self.random.uniform(1.2, 2.0)
         # Half of them tell when they will be gone.
         if self.random.random() < 0.5:
-            upstream.leaves_at = asyncio.get_running_loop().time() + lasts
-        await asyncio.sleep(lasts)
+            upstream.leaves_at = asyncio.get_running_loop().time() + duration
+        await asyncio.sleep(duration)
         await self.replace(upstream)
 
-    async def crash(self):
-        await self.replace(self.some_upstream())
+    async def crash_upstream(self):
+        await self.replace(self.pick_upstream())
 
     async def replace(self, upstream):
         if upstream.alive:
@@ -250,9 +250,9 @@
             await asyncio.sleep(0.3)
             self.store.put(f"servers/{upstream.name}", None)
 
-    async def start_again(self, upstream=None):
+    async def restart_upstream(self, upstream=None):
         """Under the same name, twice at times; the list tells of it a moment later."""
-        upstream = upstream or self.some_upstream()
+        upstream = upstream or self.pick_upstream()
         for _ in range(self.random.choice((1, 1, 2))):
             upstream.restart(silent=self.random.random() < 0.5)
             await asyncio.sleep(self.random.uniform(0.0, 0.4))
@@ -260,15 +260,15 @@
             if upstream.alive:
                 self.store.put(f"servers/{upstream.name}", upstream.entry)
 
-    async def start_again_while_leaving(self):
-        upstream = self.some_upstream()
+    async def restart_while_leaving(self):
+        upstream = self.pick_upstream()
         self.store.put(f"servers/{upstream.name}", {**upstream.entry, "state": "draining"})
         await asyncio.sleep(self.random.uniform(0.1, 1.0))
-        await self.start_again(upstream)
+        await self.restart_upstream(upstream)
 
     async def damage_entry(self):
         """Another writer's entry stands in place of an upstream's own, and beside the others."""
-        upstream = self.some_upstream()
+        upstream = self.pick_upstream()
         damaged = dict(upstream.entry)
         field = self.random.choice(sorted(damaged))
         damaged[field] = self.random.choice((None, [], {"a": 1}, -1, True))
@@ -278,13 +278,13 @@
         if upstream.alive:
             self.store.put(f"servers/{upstream.name}", upstream.entry)
 
-    async def store_comes_back(self):
+    async def restore_store(self):
         """Away for a moment, then back from a copy of a while ago; what was written since is written again, one by one."""
-        copy = self.store.copy()
+        snapshot = self.store.snapshot()
         await asyncio.sleep(self.random.uniform(0.3, 2.0))
         self.store.down = True
         await asyncio.sleep(self.random.uniform(0.1, 0.8))
-        self.store.come_back(copy)
+        self.store.restore(snapshot)
         self.store.down = False
         for key, value in list(self.store.values.items()):
             await asyncio.sleep(self.random.uniform(0.0, 0.05))
@@ -299,45 +299,45 @@
         proxy, how = self.random.choice(self.proxies), self.random.choice(("reset", "silent", "delay"))
         if how == "reset":
             return proxy.reset()
-        lasts = self.random.uniform(0.3, 2.0)
+        duration = self.random.uniform(0.3, 2.0)
         if proxy.upstream is not None:
-            proxy.upstream.unreachable_until = asyncio.get_running_loop().time() + lasts + 0.5
+            proxy.upstream.unreachable_until = asyncio.get_running_loop().time() + duration + 0.5
         proxy.silent, proxy.delay = how == "silent", 0.05 if how == "delay" else 0.0
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         proxy.silent, proxy.delay = False, 0.0
 
     # -- promises ---------------------------------------------------------------------------------
 
-    def broken(self):
-        found = list(self.record.broken)
-        for call, count in self.record.plain.items():
+    def violations(self):
+        found = list(self.record.violations)
+        for call, count in self.record.plain_runs.items():
             kind = self.calls.get(call, {}).get("kind")
             if kind is None:
                 found.append(f"{call}: ran though no caller sent it")
             elif count > (2 if kind == "fetch" else 1):
                 found.append(f"{call}: a {kind} ran {count} times")
-        found += [f"{call}: a draft started {run.starts} times" for call, run in self.record.runs.items() if run.starts > 1]
-        for call, seen in self.calls.items():
-            ran = call in self.record.plain or call in self.record.runs
-            if seen["status"] in PROMISES_NOT_RUN and ran:
-                found.append(f"{call}: refused as not run with {seen['status']}, but it ran")
-            if seen["status"] == 200 and "ends" in call:
-                found += [f"{call}: whole, though its upstream ended"] if seen["whole"] else []
-            elif seen["status"] == 200:
-                found += self.wrong_answer(call, seen)
+        found += [f"{call}: a draft started {run.start_count} times" for call, run in self.record.runs.items() if run.start_count > 1]
+        for call, observed in self.calls.items():
+            ran = call in self.record.plain_runs or call in self.record.runs
+            if observed["status"] in NOT_RUN_STATUSES and ran:
+                found.append(f"{call}: refused as not run with {observed['status']}, but it ran")
+            if observed["status"] == 200 and "ends" in call:
+                found += [f"{call}: whole, though its upstream ended"] if observed["whole"] else []
+            elif observed["status"] == 200:
+                found += self.response_violations(call, observed)
         return found
 
-    def wrong_answer(self, call, seen):
-        if "plumdale-response-seal: s" not in seen["head"]:
+    def response_violations(self, call, observed):
+        if "plumdale-response-seal: s" not in observed["head"]:
             return [f"{call}: a success without a signature"]
-        if seen["kind"] != "draft":
-            right = seen["body"] == f"answer {call}".encode()
-            return [] if right or not seen["whole"] else [f"{call}: another answer"]
+        if observed["kind"] != "draft":
+            right = observed["body"] == f"answer {call}".encode()
+            return [] if right or not observed["whole"] else [f"{call}: another answer"]
         length = self.record.runs[call].length
         events = [f"id: {i}\ndata: {i} of {length}\n\n".encode() for i in range(1, length + 1)]
-        if seen["whole"] and seen["body"] != b"".join(events):
+        if observed["whole"] and observed["body"] != b"".join(events):
             return [f"{call}: a whole stream with events missing, doubled or out of order"]
-        return [] if b"".join(events).startswith(seen["body"]) else [f"{call}: events that are not the generation's"]
+        return [] if b"".join(events).startswith(observed["body"]) else [f"{call}: events that are not the generation's"]
 
 
 async def soak(seed, binary, seconds):
@@ -348,29 +348,29 @@
         await fleet.start()
         await asyncio.sleep(1.0)
         tasks, end, number = [], loop.time() + seconds, 0
-        if seed not in KEPT:
-            tasks.append(asyncio.create_task(fleet.ending_calls(end)))
-            fleet.upstreams["i-1"].state_limit(fleet.random.uniform(0.5, 3.0))
+        if seed not in REGRESSION_SEEDS:
+            tasks.append(asyncio.create_task(fleet.send_ending_calls(end)))
+            fleet.upstreams["i-1"].announce_limit(fleet.random.uniform(0.5, 3.0))
         while loop.time() < end:
             number += 1
             tasks.append(asyncio.create_task(fleet.call(number)))
             if fleet.random.random() < 0.06:
                 tasks.append(asyncio.create_task(fleet.fault()))
             await asyncio.sleep(fleet.random.expovariate(30))
-        _, late = await asyncio.wait(tasks, timeout=25)
-        for task in late:
+        _, pending = await asyncio.wait(tasks, timeout=25)
+        for task in pending:
             task.cancel()
-        served = sum(1 for seen in fleet.calls.values() if seen["status"] == 200 and seen["whole"])
-        broken = fleet.broken()
+        served = sum(1 for observed in fleet.calls.values() if observed["status"] == 200 and observed["whole"])
+        violations = fleet.violations()
         if served < number // 4:
-            broken.append(f"only {served} of {number} calls were served")
+            violations.append(f"only {served} of {number} calls were served")
     finally:
         await fleet.stop()
-    state = "ok" if not broken else "FAILED, logs in " + str(folder)
+    state = "ok" if not violations else "FAILED, logs in " + str(folder)
     print(f"seed {seed}: {number} calls, {served} served whole, {state}", flush=True)
-    for line in broken[:5]:
+    for line in violations[:5]:
         print(f"  {line}", flush=True)
-    return not broken
+    return not violations
 
 
 def report(loop, context):
@@ -389,13 +389,13 @@
     parser.add_argument("--binary", default="build/bin/plumdaled")
     options = parser.parse_args()
     asyncio.get_running_loop().set_exception_handler(report)
-    turn = asyncio.Semaphore(options.parallel)
+    limiter = asyncio.Semaphore(options.parallel)
 
     async def one(seed):
-        async with turn:
+        async with limiter:
             return await soak(seed, options.binary, options.seconds)
 
-    seeds = [*range(options.first, options.first + options.seeds), *(KEPT if options.kept else ())]
+    seeds = [*range(options.first, options.first + options.seeds), *(REGRESSION_SEEDS if options.kept else ())]
     results = await asyncio.gather(*(one(seed) for seed in seeds))
     print(f"{results.count(True)} passed, {results.count(False)} failed")
     return 0 if all(results) else 1
