--- a/scripts/lint_unit.py
+++ b/scripts/lint_unit.py
@@ -1,4 +1,4 @@
-"""Runs clang-tidy over one unit, unless the same unit passed before."""
+"""Runs clang-tidy over one unit, unless a unit of the same content passed before."""
 
 import hashlib
 import json
--- a/scripts/plot_measures.py
+++ b/scripts/plot_measures.py
@@ -56,7 +56,7 @@
 
 
 def plot(points, title):
-    """One frontier: preemptions (log) against tokens a second of whole answers."""
+    """Returns the SVG of one frontier: preemptions (log scale) against tokens/s of complete answers."""
     width, height, margin = 520, 320, 50
     xs = [p[1] for p in points]
     low, high = min(xs) * 0.98, max(xs) * 1.02
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,4 +1,4 @@
-# Functions of scripts that start programs: sourced, not run. Sets $bin and $work; ends on exit what was started.
+# Functions for scripts that start programs; sourced, not run. Sets $bin and $work; on exit, ends the started programs.
 
 bin=${BIN:-$PWD/build/bin}
 work=$(mktemp -d)
@@ -12,7 +12,7 @@
 
 fail() { echo "${0##*/}: $*" >&2; exit 1; }
 
-# start NAME PROGRAM ARGS...: runs it in the background; its id is then in $pid.
+# start NAME PROGRAM ARGS...: runs the program in the background and sets $pid to its process id.
 start() {
     local name=$1
     shift
@@ -21,7 +21,7 @@
     pids+=("$pid")
 }
 
-# address NAME WORD: prints what the program printed after WORD, once it has.
+# address NAME WORD: waits until the program has printed a line that starts with WORD, and prints the next word.
 address() {
     local found
     for _ in $(seq 200); do
@@ -33,7 +33,7 @@
     fail "$1 did not start"
 }
 
-# post ADDRESS PATH BODY: one HTTP request without further tools; prints the status line.
+# post ADDRESS PATH BODY: sends one HTTP request without external HTTP tools; prints the status line.
 post() {
     exec 3<>"/dev/tcp/${1%:*}/${1##*:}"
     printf 'POST %s HTTP/1.1\r\nHost: script\r\nContent-Length: %d\r\n\r\n%s' "$2" "${#3}" "$3" >&3
@@ -41,7 +41,7 @@
     exec 3>&-
 }
 
-# until_true SECONDS COMMAND...: repeats the command until it succeeds.
+# until_true SECONDS COMMAND...: repeats the command until it succeeds; fails after SECONDS.
 until_true() {
     local end=$((SECONDS + $1))
     shift
@@ -51,7 +51,7 @@
     done
 }
 
-# is_ready ADDRESS: whether an entry VM's health check says so.
+# is_ready ADDRESS: succeeds when the health check of the entry VM returns 200.
 is_ready() {
     local status
     { exec 4<>"/dev/tcp/${1%:*}/${1##*:}"; } 2>/dev/null || return 1
--- a/scripts/watch_switches.py
+++ b/scripts/watch_switches.py
@@ -1,4 +1,4 @@
-"""Switches presets and measures the time until each entry VM says that the switch is in force."""
+"""Switches presets and measures the time until each entry VM reports that the switch is in force."""
 
 import http.client
 import json
@@ -11,7 +11,7 @@
 
 
 class JsonClient:
-    """A kept connection to one address."""
+    """Sends JSON requests over one persistent HTTP connection."""
 
     def __init__(self, address: str, key: str = "") -> None:
         host, port = address.split(":")
@@ -40,7 +40,7 @@
 
 
 def measure(switch, entries: list[str], key: str, preset: str) -> list[float]:
-    """Calls `switch` and returns each entry VM's time; one that took too long is missing."""
+    """Calls `switch` and returns the time of each entry VM, without those that exceeded BOUND_SECONDS."""
     times: list[float] = []
     started = time.monotonic()
     watchers = [
--- a/tests/scripts/test_losses.py
+++ b/tests/scripts/test_losses.py
@@ -1,4 +1,4 @@
-"""What scripts/losses makes of recorded lines: one outcome a call, and why nothing was there to go on from."""
+"""Tests scripts/losses on recorded lines: each call has one outcome, and a broken call has its cause."""
 
 import importlib.machinery
 import importlib.util
@@ -68,7 +68,7 @@
 
         class Pace:
             token_ms, prompt_tokens_per_ms = 7.1, 14.0
-        # 2,800 tokens to read and 900 to make take 6.6 s on an empty engine.
+        # 2,800 prompt tokens and 900 generated tokens take 6.6 s on an empty engine.
         self.assertEqual([losses.could_have_finished(call, Pace) for call in calls], [True, False])
 
     def test_unfinished_call_of_a_running_vm_is_not_lost(self):
--- a/tests/soak/bench_forward.py
+++ b/tests/soak/bench_forward.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Processor time and delay that a forwarding entry VM adds, against a caller that speaks to the upstream.
+"""Measures the processor time and delay that a forwarding entry VM adds to calls sent directly to an upstream.
 
 usage: tests/soak/bench_forward.py [--calls N] [--streams N] [--binary FILE]
-One entry VM and the soak's stand-ins on loopback, the same calls straight and through the VM in one run.
-Prints processor time per plain call and per stream event, memory at rest and per open stream, and the
-delay of plain calls at p50 and p99.
+Starts one entry VM and the soak's stand-ins on loopback, and sends the same calls directly and through the
+VM in one run. Prints processor time per plain call and per stream event, memory at rest and per open
+stream, and the added delay of plain calls at p50 and p99.
 """
 import argparse
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class SteadyUpstream(soak.Upstream):
-    """Answers at once, and streams events without pauses longer than 10 ms."""
+    """Answers without delay, and streams one event every 10 ms."""
 
     async def handle(self, message, writer):
         start, headers, _ = message
@@ -62,7 +62,7 @@
 
 
 async def plain_calls(address, count, name):
-    """Returns the times of calls one after another on one connection."""
+    """Returns the sorted durations of calls sent one after another on one connection."""
     reader, writer = await asyncio.open_connection(*address)
     times = []
     for number in range(count):
--- a/tests/soak/platform_standin.py
+++ b/tests/soak/platform_standin.py
@@ -1,6 +1,6 @@
-"""Stand-ins of the users' platform for the soak: a store that can be read and upstreams that run calls.
+"""Stand-ins of the users' platform for the soak: a readable key-value store and upstreams that run calls.
 
-They keep their own record of what they ran; the soak's checks read it.
+The upstreams record the calls that they ran; the soak checks the promises against this record.
 """
 
 import asyncio
@@ -11,18 +11,19 @@
 import random
 
 SEAL = "Plumdale-Response-Seal"
-# The users' rule: a generation may go on elsewhere while its former upstream still works on it for this long, in
-# seconds; a reset takes a moment to reach it.
+# Rule of the users: after a generation resumes elsewhere, its former upstream may work on it for at most this long,
+# because a connection reset takes time to arrive.
 MAX_OVERLAP_S = 0.4
-# An order of evacuation is in force at VMs that hear anything within this, in seconds: our aim of 1 s, doubled for a
-# machine that other work shares.
+# An evacuation order must be in force within this time at every VM that receives updates: the objective of 1 s,
+# doubled because other work shares the machine.
 MAX_EVACUATION_DELAY_S = 2.0
-# A request with this body ends each upstream that runs it. After the third end and a time for all VMs to hear of it, in
-# seconds, it may reach so many more; a VM that was ended or paused less than that time ago excuses what arrives.
+# A request with this body ends each upstream that runs it. PROPAGATION_S after the third end, when all VMs have been
+# informed, the request may reach at most MAX_LATE_SENDS more upstreams. Arrivals do not count until PROPAGATION_S after
+# a VM was ended or paused, because that VM may not have been informed.
 ENDING_BODY = b"ends its upstream"
 PROPAGATION_S, MAX_ENDS, MAX_LATE_SENDS = 3.0, 3, 3
-# An upstream that states how many requests a second it takes may get one and a half times as many, and some, in a window of
-# so many seconds.
+# An upstream that announces a limit in requests per second may receive at most LIMIT_FACTOR times as many, plus
+# LIMIT_SLACK requests, in a window of LIMIT_WINDOW_S seconds.
 LIMIT_WINDOW_S, LIMIT_FACTOR, LIMIT_SLACK = 4.0, 1.5, 5
 CONFIGURATION = {
     "routes": [
@@ -42,7 +43,8 @@
 
 
 async def read_message(reader):
-    """Returns (start line, headers in lower case, body) of one HTTP message with a length, or None at its end."""
+    """Returns (start line, headers in lower case, body) of one HTTP message with a length, or None when the connection
+    ended."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         headers = {n.lower(): v.strip() for n, v in (line.split(":", 1) for line in head[1:] if ":" in line)}
@@ -56,12 +58,12 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-# The page of a watch that asks for history that the store doesn't have.
+# Result of a watch that asks for revisions that the store does not have; answered with 410.
 GONE = {}
 
 
 class Store:
-    """Keys with revisions, ranges and watches; `down` makes it answer 503. It may come back from a copy."""
+    """Key-value store with revisions, ranges and watches. It answers 503 while `down`; a snapshot can be restored."""
 
     def __init__(self):
         self.items, self.revision, self.log, self.changed, self.down = {}, 0, [], asyncio.Event(), False
@@ -71,7 +73,7 @@
         return dict(self.items), self.revision, list(self.log)
 
     def restore(self, snapshot):
-        """All that was written since the copy is gone, and its revisions are given out again."""
+        """Discards all writes since the snapshot; their revisions are assigned again."""
         self.items, self.revision, self.log = dict(snapshot[0]), snapshot[1], list(snapshot[2])
         self.era += 1
         self.changed.set()
@@ -121,44 +123,47 @@
 
 
 class Run:
-    """One generation: who works on it, what it has made, and whether a last copy stopped it at its upstream.
+    """One generation: its attempts, the number of generated events, and the upstream that stopped after a last copy.
 
-    `workers` has the upstream of each attempt that still works. One upstream may have it twice, one attempt after the other.
+    `active_upstreams` maps each attempt that still runs to its upstream. An upstream may have
+    two of them, started one after the other.
     """
 
     def __init__(self, length):
         self.length, self.generated, self.active_upstreams, self.stopped, self.start_count = length, 0, {}, None, 1
-        # Address of the upstream that keeps a backup, and its start when the backup was asked for.
+        # Address of the upstream that holds a backup, and its start time when the backup was requested.
         self.backup = None
 
 
 class Record:
-    """What all upstreams ran, and the broken promises that they saw themselves."""
+    """The calls that all upstreams ran, and the violations of promises that the upstreams detected."""
 
     def __init__(self):
         self.runs, self.plain_runs, self.refused_after, self.violations = {}, {}, set(), []
         self.copies, self.handles = {}, itertools.count(1)
-        # Start of the upstream at each address; memory that was kept there ends with it.
+        # Start time of the upstream at each address; a restart loses the memory that was held there.
         self.upstream_starts = {}
-        # When each zone's evacuation was ordered; how many faults keep VMs from hearing of it, and when one last did.
+        # Time of each zone's evacuation order, number of active faults that keep VMs from receiving the order, and the
+        # time when the last such fault ended.
         self.evacuated_at, self.active_delivery_faults, self.last_delivery_fault_end = {}, 0, 0.0
-        # When upstreams ended under the request that ends them, and how often it was sent on later than is allowed.
+        # Arrival times of the ending request, number of arrivals later than is allowed, and the time when the last fault
+        # of a VM ends.
         self.end_times, self.late_sends, self.vm_fault_until = [], 0, 0.0
 
     def note_ending_request(self):
-        """Another upstream got the request that ends them."""
+        """Records that another upstream received the ending request, and checks the bound on late arrivals."""
         now = asyncio.get_running_loop().time()
         is_late = len(self.end_times) >= MAX_ENDS and now > self.end_times[MAX_ENDS - 1] + PROPAGATION_S
         if is_late and now > self.vm_fault_until + PROPAGATION_S:
             self.late_sends += 1
         if self.late_sends == MAX_LATE_SENDS + 1:
-            self.violations.append(f"a request under which {len(self.end_times)} upstreams ended was sent to more of them")
+            self.violations.append(f"a request under which {len(self.end_times)} upstreams ended was sent to more upstreams")
         self.end_times.append(now)
 
 
 class Upstream:
-    """Runs calls and records them. `leaving` is announced by the soak; `crash` cuts all its streams, `restart` begins
-    anew under the same name."""
+    """Runs calls and records them. The soak announces that it leaves; `crash` cuts all its streams, `restart` starts a
+    new incarnation under the same name."""
 
     def __init__(self, name, record, seed, zone):
         self.zone = zone
@@ -166,7 +171,7 @@
         self.name, self.record, self.random = name, record, random.Random(seed)
         self.writers, self.alive, self.unreachable_until, self.leaves_at = set(), True, 0.0, None
         self.on_end = self.crash
-        # What it states that it takes, since when, and when requests came since.
+        # Announced limit in requests per second, time of the announcement, and arrival times since then.
         self.limit, self.limited_since, self.arrivals = None, 0.0, collections.deque()
 
     async def serve(self, reader, writer):
@@ -190,7 +195,8 @@
         self.limit, self.limited_since = per_second, asyncio.get_running_loop().time()
 
     def check_request_rate(self, call):
-        """Requests count from when all VMs had the time to hear of the limit, without those that were held up."""
+        """Checks the announced limit. Requests count once all VMs had time to receive it,
+        except after a fault that delays requests."""
         now = asyncio.get_running_loop().time()
         is_excused = now < max(self.limited_since, self.record.vm_fault_until) + PROPAGATION_S or now < self.unreachable_until + LIMIT_WINDOW_S
         if self.limit is None or is_excused:
@@ -199,10 +205,10 @@
         while self.arrivals[0] < now - LIMIT_WINDOW_S:
             self.arrivals.popleft()
         if len(self.arrivals) > LIMIT_FACTOR * LIMIT_WINDOW_S * self.limit + LIMIT_SLACK:
-            self.record.violations.append(f"{call}: {self.name} takes {self.limit} a second and got {len(self.arrivals)} in {LIMIT_WINDOW_S} s")
+            self.record.violations.append(f"{call}: {self.name} has a limit of {self.limit} requests/s and received {len(self.arrivals)} in {LIMIT_WINDOW_S} s")
 
     def restart(self, silent):
-        """A later start with nothing of before. Connections are reset, or stay silent as after a loss of power."""
+        """Starts a new incarnation without the former state. Connections are reset, or silent as after a power loss."""
         self.born += 1000
         self.leaves_at = None
         self.record.upstream_starts[self.address] = self.born
@@ -231,7 +237,7 @@
             return writer.write(http_response(421, b"", [*fields, ("Plumdale-Not-Executed", "1")]))
         self.check_evacuation(call)
         if "plumdale-key" in headers or headers.get("plumdale-tenant") != "customer":
-            self.record.violations.append(f"{call}: key passed on or wrong customer")
+            self.record.violations.append(f"{call}: the API key was forwarded, or the customer is wrong")
         if body == ENDING_BODY:
             if "kv-from" not in headers:
                 self.record.plain_runs[call] = self.record.plain_runs.get(call, 0) + 1
@@ -248,7 +254,7 @@
         writer.write(http_response(500 if failed else 200, f"answer {call}".encode(), [*fields, (SEAL, "s")]))
 
     async def end_during_request(self, target, writer, fields):
-        """Ends before its answer, or in the midst of a stream's first events."""
+        """Ends before the answer, or after the first event of a stream."""
         await asyncio.sleep(self.random.uniform(0.0, 0.1))
         if not self.alive:
             return
@@ -267,7 +273,7 @@
             self.record.violations.append(f"{call}: reached {self.name} {now - ordered:.1f} s after its zone was evacuated")
 
     def report(self):
-        """As of half a second ago: the departure was that much farther away."""
+        """Returns a report that is half a second old: the remaining time is 500 ms too long."""
         if self.leaves_at is None:
             return {"born": self.born}
         left = int(1000 * (self.leaves_at - asyncio.get_running_loop().time())) + 500
@@ -293,7 +299,7 @@
             if run is None or (handle == call and not has_backup):
                 return writer.write(http_response(503, b"", [*fields, ("Plumdale-Not-Executed", "1")]))
             if runs.get(call) is not run:
-                self.record.violations.append(f"{call}: goes on from the memory of another call")
+                self.record.violations.append(f"{call}: resumed from the memory of another call")
             for attempt in run.active_upstreams:
                 asyncio.get_running_loop().call_later(MAX_OVERLAP_S, self.check_stopped, call, run, attempt)
             run.stopped = None
@@ -312,10 +318,10 @@
         await self.stream(run, first, writer)
 
     def check_stopped(self, call, run, attempt):
-        """An upstream that the entry VM reaches has stopped by now: its connection was closed or reset."""
+        """Reports a violation when a reachable upstream still works on an attempt after its connection was closed."""
         other = run.active_upstreams.get(attempt)
         if other is not None and other.alive and asyncio.get_running_loop().time() > other.unreachable_until:
-            self.record.violations.append(f"{call}: goes on at {self.name} while {other.name} still works on it")
+            self.record.violations.append(f"{call}: resumed at {self.name} while {other.name} still works on it")
 
     async def stream(self, run, first, writer):
         attempt = object()
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,12 +1,13 @@
-"""Fault soak: real entry VMs as processes, faults from outside, promises checked by callers and upstreams.
+"""Fault soak: runs entry VMs as processes, injects faults and checks the promises at callers and upstreams.
 
 usage: tests/soak/soak.py [--seeds N] [--first SEED] [--seconds S] [--kept] [--parallel P] [--binary FILE]
 
 Each seed starts three entry VMs and five upstreams on loopback addresses of its own, sends calls for some seconds and
-injects faults in series that overlap: connections delayed, reset or silenced by a proxy; entry VMs paused, killed, stopped
-and started again; a request that ends each upstream that runs it; an upstream that states a limit; upstreams that leave, crash or start again under their name; entries of other writers; zones that are
-evacuated; a store that is down, or comes back from a copy. Only processes that a seed started are signalled,
-by their ids. The last line is `N passed, N failed`; failed seeds print what broke and where their logs are.
+injects overlapping faults: connections delayed, reset or silenced by a proxy; entry VMs paused, killed, stopped and
+restarted; a request that ends each upstream that runs it; an upstream that announces a limit; upstreams that leave,
+crash or restart under the same name; entries of other writers; zones that are evacuated; a store that is down or
+restored from a snapshot. Only processes that a seed started are signalled, by their ids. The last line is
+`N passed, N failed`; failed seeds print their violations and the folder of their logs.
 """
 
 import argparse
@@ -22,16 +23,16 @@
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
-# Seeds that failed once, and why; all are run with --kept.
+# Seeds that once failed, with the cause; --kept runs all of them.
 REGRESSION_SEEDS = {
-    10: "a draft went on while its upstream's end of the connection was not read yet; the rule allows 0.4 s",
+    10: "a draft resumed while its former upstream had not yet read the end of the connection; the rule allows 0.4 s",
     11: "as 10", 18: "as 10", 24: "as 10", 32: "as 10", 40: "as 10",
-    108: "a draft went from one upstream to a second and back within 0.4 s; the check took the third attempt for the first",
+    108: "a draft moved to a second upstream and back within 0.4 s; the check mistook the third attempt for the first",
 }
 
 
 class Proxy:
-    """Passes bytes between a port of its own and a handler; can delay, silence or reset its connections."""
+    """Forwards bytes between its own port and a target; can delay, silence or reset its connections."""
 
     def __init__(self, target, upstream=None):
         self.target, self.upstream, self.connections, self.silent, self.delay = target, upstream, set(), False, 0.0
@@ -127,7 +128,7 @@
     # -- callers ----------------------------------------------------------------------------------
 
     async def send_ending_calls(self, until):
-        """The same request under new ids at any VM, as a caller that doesn't give up sends it."""
+        """Sends the ending request to random VMs under new ids, like a caller that retries without limit."""
         kind, number = self.random.choice(("event", "draft", "fetch") if self.seed % 2 else ("draft",)), 0
         while asyncio.get_running_loop().time() < until:
             number += 1
@@ -170,22 +171,22 @@
 
     async def fault(self):
         faults = (self.pause_vm, self.kill_vm, self.stop_vm, self.drain_upstream, self.crash_upstream, self.store_down, self.disturb_links)
-        # Seeds that are kept play what they played when they failed.
+        # Regression seeds repeat the faults that they injected when they failed.
         if self.seed not in REGRESSION_SEEDS:
-            # Each third seed leaves the VMs alone: what they have to know then, none has an excuse not to.
+            # Every third seed injects no faults into VMs, so that no VM fault excuses a missed update.
             faults = faults[3:] if self.seed % 3 == 2 else faults
             faults += (self.restore_store, self.restart_upstream, self.restart_while_leaving, self.damage_entry, self.evacuate)
         fault = self.random.choice(faults)
         if fault not in (self.pause_vm, self.kill_vm, self.stop_vm, self.store_down, self.disturb_links, self.restore_store):
             return await fault()
-        # These keep VMs from hearing of an order.
+        # These faults keep VMs from receiving an evacuation order.
         self.record.active_delivery_faults += 1
         await fault()
         self.record.active_delivery_faults -= 1
         self.record.last_delivery_fault_end = asyncio.get_running_loop().time()
 
     async def evacuate(self):
-        """A zone's upstreams get nothing for some seconds, once or twice in a row; the value of the order is anything."""
+        """Evacuates a zone for some seconds, once or twice in a row. The value of the order is arbitrary."""
         zone = self.random.choice(("a", "b"))
         if zone in self.record.evacuated_at:
             return
@@ -214,7 +215,7 @@
             process.send_signal(how)
             process.send_signal(signal.SIGCONT)
             await process.wait()
-            # Of two faults that ended the same process, one starts it again.
+            # When two faults ended the same process, only one of them restarts it.
             if number not in self.starting:
                 self.starting.add(number)
                 await self.start_vm(number)
@@ -227,14 +228,14 @@
         await self.end_vm(signal.SIGTERM)
 
     def pick_upstream(self):
-        """Not the one that states a limit: it lives on, so that what it gets can be counted."""
+        """Returns a random upstream, except the one with a limit: it must live on so that its requests can be counted."""
         return self.random.choice([u for u in self.upstreams.values() if u.alive and u.limit is None])
 
     async def drain_upstream(self):
         upstream = self.pick_upstream()
         self.store.put(f"servers/{upstream.name}", {**upstream.entry, "state": "draining"})
         duration = self.random.uniform(1.2, 2.0)
-        # Half of them tell when they will be gone.
+        # Half of the upstreams report when they will end.
         if self.random.random() < 0.5:
             upstream.leaves_at = asyncio.get_running_loop().time() + duration
         await asyncio.sleep(duration)
@@ -251,7 +252,7 @@
             self.store.put(f"servers/{upstream.name}", None)
 
     async def restart_upstream(self, upstream=None):
-        """Under the same name, twice at times; the list tells of it a moment later."""
+        """Restarts an upstream under the same name, sometimes twice; the store's entry changes up to 0.4 s later."""
         upstream = upstream or self.pick_upstream()
         for _ in range(self.random.choice((1, 1, 2))):
             upstream.restart(silent=self.random.random() < 0.5)
@@ -267,7 +268,7 @@
         await self.restart_upstream(upstream)
 
     async def damage_entry(self):
-        """Another writer's entry stands in place of an upstream's own, and beside the others."""
+        """Another writer overwrites an upstream's entry and adds an entry of its own."""
         upstream = self.pick_upstream()
         damaged = dict(upstream.entry)
         field = self.random.choice(sorted(damaged))
@@ -279,7 +280,7 @@
             self.store.put(f"servers/{upstream.name}", upstream.entry)
 
     async def restore_store(self):
-        """Away for a moment, then back from a copy of a while ago; what was written since is written again, one by one."""
+        """Takes the store down, restores an older snapshot, and then writes all values again one by one."""
         snapshot = self.store.snapshot()
         await asyncio.sleep(self.random.uniform(0.3, 2.0))
         self.store.down = True
@@ -313,7 +314,7 @@
         for call, count in self.record.plain_runs.items():
             kind = self.calls.get(call, {}).get("kind")
             if kind is None:
-                found.append(f"{call}: ran though no caller sent it")
+                found.append(f"{call}: ran although no caller sent it")
             elif count > (2 if kind == "fetch" else 1):
                 found.append(f"{call}: a {kind} ran {count} times")
         found += [f"{call}: a draft started {run.start_count} times" for call, run in self.record.runs.items() if run.start_count > 1]
@@ -322,22 +323,22 @@
             if observed["status"] in NOT_RUN_STATUSES and ran:
                 found.append(f"{call}: refused as not run with {observed['status']}, but it ran")
             if observed["status"] == 200 and "ends" in call:
-                found += [f"{call}: whole, though its upstream ended"] if observed["whole"] else []
+                found += [f"{call}: complete although its upstream ended"] if observed["whole"] else []
             elif observed["status"] == 200:
                 found += self.response_violations(call, observed)
         return found
 
     def response_violations(self, call, observed):
         if "plumdale-response-seal: s" not in observed["head"]:
-            return [f"{call}: a success without a signature"]
+            return [f"{call}: a success without the upstream's seal"]
         if observed["kind"] != "draft":
             right = observed["body"] == f"answer {call}".encode()
-            return [] if right or not observed["whole"] else [f"{call}: another answer"]
+            return [] if right or not observed["whole"] else [f"{call}: an answer that does not belong to the call"]
         length = self.record.runs[call].length
         events = [f"id: {i}\ndata: {i} of {length}\n\n".encode() for i in range(1, length + 1)]
         if observed["whole"] and observed["body"] != b"".join(events):
-            return [f"{call}: a whole stream with events missing, doubled or out of order"]
-        return [] if b"".join(events).startswith(observed["body"]) else [f"{call}: events that are not the generation's"]
+            return [f"{call}: a complete stream with missing, duplicate or reordered events"]
+        return [] if b"".join(events).startswith(observed["body"]) else [f"{call}: events that do not belong to the generation"]
 
 
 async def soak(seed, binary, seconds):
@@ -374,7 +375,7 @@
 
 
 def report(loop, context):
-    """Connections that are still open when a seed ends are cancelled; all else is printed as usual."""
+    """Ignores the cancellation of connections that are open when a seed ends; handles other errors as usual."""
     if not isinstance(context.get("exception"), asyncio.CancelledError):
         loop.default_exception_handler(context)
 
@@ -383,7 +384,7 @@
     parser = argparse.ArgumentParser(description="Fault soak of forwarding entry VMs.")
     parser.add_argument("--seeds", type=int, default=2)
     parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--kept", action="store_true", help="the seeds that failed once as well")
+    parser.add_argument("--kept", action="store_true", help="also run the seeds that once failed")
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--parallel", type=int, default=2)
     parser.add_argument("--binary", default="build/bin/plumdaled")
