--- a/include/plumdale/coordination/fleet_retry_budget.hpp
+++ b/include/plumdale/coordination/fleet_retry_budget.hpp
@@ -25,8 +25,12 @@
 ///
 /// Each own call earns `ratio` over a sliding window. The slack is divided equally between the
 /// entry VMs that this one knows; while its view may be incomplete, callers pass the most it has
-/// known. Example: \code fleet_retry_budget budget{{0.2, 58, 10s}}; budget.note_call(now); if
-/// (budget.take(now, members)) { /* send once more */ } \endcode
+/// known. Example:
+/// \code
+/// fleet_retry_budget budget{{0.2, 58, 10s}};
+/// budget.note_call(now);
+/// if (budget.take(now, members)) { /* send once more */ }
+/// \endcode
 class fleet_retry_budget
 {
 public:
--- a/include/plumdale/coordination/fleet_view.hpp
+++ b/include/plumdale/coordination/fleet_view.hpp
@@ -128,7 +128,7 @@
         return peers_;
     }
 
-    /// \brief With two reader_count, one may fall silent without a gap in the fleet's updates.
+    /// \brief With two readers, one may fall silent without a gap in the fleet's updates.
     static constexpr std::size_t reader_count = 2;
     /// \brief Time between two periodic messages of a reader: 10 ms for each VM that receives them,
     /// within these bounds.
