--- a/bench/policy/scenario.hpp
+++ b/bench/policy/scenario.hpp
@@ -21,7 +21,7 @@
     third_dies,   ///< A third of the engines die and restart likewise.
     reclaim,      ///< One engine is marked as leaving and stops 20 s later.
     zone_cut,     ///< The first zone is cut off from the others for 20 s.
-    burst,        ///< One customer's demand grows to nine tenths of all within a minute.
+    burst,        ///< One customer grows to nine tenths of the demand within a minute.
     switching     ///< Two presets alternate every ten seconds.
 };
 
--- a/include/plumdale/coordination/load_update_queue.hpp
+++ b/include/plumdale/coordination/load_update_queue.hpp
@@ -23,7 +23,7 @@
 /// \code
 /// load_update_queue updates{load_update_queue::default_bytes_per_second};
 /// updates.push(member);
-/// for (state::member_key const member : updates.due(now, peers)) { ... }
+/// for (state::member_key const member : updates.take_due(now, peers)) { ... }
 /// \endcode
 class load_update_queue
 {
--- a/include/plumdale/coordination/upstream_limits.hpp
+++ b/include/plumdale/coordination/upstream_limits.hpp
@@ -30,8 +30,12 @@
 ///
 /// A limit that one VM reads in an answer is sent to all. Some VMs, chosen by rank for each
 /// upstream, have an equal part of it; the others send nothing there while the limit is stated.
-/// Example: \code upstream_limits limits{fleet, self}; limits.answered(member, 3.1, now); if
-/// (limits.may_send(member, now)) { send(); limits.note_sent(member, now); } \endcode
+/// Example:
+/// \code
+/// upstream_limits limits{fleet, self};
+/// limits.answered(member, 3.1, now);
+/// if (limits.may_send(member, now)) { send(); limits.note_sent(member, now); }
+/// \endcode
 class upstream_limits
 {
 public:
